--- a/internal/outcome/load.go
+++ b/internal/outcome/load.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// LongBody is from where on a body is sent while the answer is awaited: the other end may
-// answer without reading it, and a socket takes less than this before it blocks. In bytes.
+// LongBody is the size in bytes from which a body is sent concurrently with waiting for
+// the answer. The other end may answer without reading the body, and a socket buffers less
+// than this before a write blocks.
 const LongBody = 16 << 10
 
-// Load is what an owner reports of an upstream on every answer.
+// Load is an upstream's load, which its owner reports with every answer.
 type Load struct {
 	InFlight int
 	Queued   int
 	Slots    int
-	// Service is the mean time an attempt takes at the upstream.
+	// Service is the mean time that the upstream takes for an attempt.
 	Service time.Duration
-	// Intake is how long a long body waits before it may come.
+	// Intake is how long a body of LongBody or more has to wait at present before it may
+	// be sent to the owner.
 	Intake time.Duration
 }
 
-// loadFields is how many numbers a report of load has.
+// loadFields is the number of integers in an encoded load.
 const loadFields = 5
 
-// Encode writes the load as a header's value.
+// Encode returns the load as the value of a header.
 func (l Load) Encode() string {
 	b := make([]byte, 0, 32)
 	for i, n := range [loadFields]int64{int64(l.InFlight), int64(l.Queued), int64(l.Slots), l.Service.Microseconds(), l.Intake.Microseconds()} {
@@ -36,7 +38,8 @@
 	return string(b)
 }
 
-// DecodeLoad reads a header's value. False: it is no report of load.
+// DecodeLoad parses the value of a header that Encode returned. It returns false for any
+// other text.
 func DecodeLoad(s string) (Load, bool) {
 	var n [loadFields]int64
 	for i := range n {
--- a/internal/outcome/load_test.go
+++ b/internal/outcome/load_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// TestLoadSurvivesAHeader sends a report of load through HTTP, which trims
-// white space.
-func TestLoadSurvivesAHeader(t *testing.T) {
+// TestLoadRoundTripsThroughHeader sends an encoded load as an HTTP header, from which
+// leading and trailing white space is trimmed.
+func TestLoadRoundTripsThroughHeader(t *testing.T) {
 	is := is.New(t)
 	want := Load{InFlight: 3, Queued: 1, Slots: 8, Service: 1500 * time.Microsecond, Intake: 70 * time.Millisecond}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -29,7 +29,7 @@
 func TestDecodeLoadRefusesOtherText(t *testing.T) {
 	for _, s := range []string{"", "1", "1 2 3", "1 2 3 4", "1 2 3 4 x", "1 2 3 4 5 6", "1  2 3 4"} {
 		if _, ok := DecodeLoad(s); ok {
-			t.Errorf("%q was taken for a load", s)
+			t.Errorf("DecodeLoad accepted %q, want it refused", s)
 		}
 	}
 }
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome says what becomes of an attempt to run a call at an upstream: the
-// words that daemons use among themselves, to callers and in logs, and the load that
+// Package outcome defines the results of attempts to run a call at an upstream: the
+// outcomes and reasons that daemons exchange, return to callers and log, and the load that
 // an upstream's owner reports with them.
 package outcome
 
@@ -10,34 +10,34 @@
 	"time"
 )
 
-// Kind is what is known of a call.
+// Kind is the outcome of a call.
 type Kind string
 
-// The outcomes, as callers read them.
+// The outcomes, as returned to callers.
 const (
-	// Answered: the answer is the upstream's, whole.
+	// Answered: the caller gets the upstream's complete answer.
 	Answered Kind = "answered"
-	// NotRun: no upstream has run or will run the request.
+	// NotRun: no upstream has run the request, and none will.
 	NotRun Kind = "not-run"
 	// Unknown: the request may have run.
 	Unknown Kind = "unknown"
 )
 
-// Reason says in one word why a call was not answered.
+// Reason is the code for why a call was not answered.
 type Reason string
 
 // The reasons.
 const (
 	ReasonNotReady Reason = "not-ready"
 	ReasonNoRoute  Reason = "no-route"
-	// ReasonNoService: the version in force lets calls of the route go nowhere.
+	// ReasonNoService: the route has no service in the configuration in force.
 	ReasonNoService Reason = "no-service"
 	ReasonForbidden Reason = "caller-not-granted"
-	// ReasonUnknownKey: the call needs a workspace's key, and has none that is in force.
+	// ReasonUnknownKey: the call needs a workspace's key, but has no valid one.
 	ReasonUnknownKey Reason = "unknown-key"
-	// ReasonStale: the daemon cannot tell which keys are in force.
+	// ReasonStale: the daemon's configuration is too old to tell which keys are valid.
 	ReasonStale Reason = "configuration-stale"
-	// ReasonOverLimit: the call is beyond its workspace's limit.
+	// ReasonOverLimit: the call exceeds its workspace's rate limit.
 	ReasonOverLimit   Reason = "over-limit"
 	ReasonTooLarge    Reason = "body-too-large"
 	ReasonBadRequest  Reason = "bad-request"
@@ -47,54 +47,58 @@
 	ReasonDraining    Reason = "draining"
 	ReasonGone        Reason = "upstream-gone"
 	ReasonOverload    Reason = "overload"
-	// ReasonLink: the body would wait too long for the link of the owner's VM.
+	// ReasonLink: the body would wait too long for the network link of the owner's VM.
 	ReasonLink Reason = "link-busy"
 	// ReasonShed: the upstream itself refused the request.
 	ReasonShed Reason = "upstream-refused"
-	// ReasonMoved: another upstream has the address.
+	// ReasonMoved: the process at the address is another upstream.
 	ReasonMoved Reason = "upstream-moved"
-	// ReasonQuarantined: upstreams have ended under the request, which is run no more.
+	// ReasonQuarantined: the request is quarantined, since upstreams that ran it crashed.
 	ReasonQuarantined Reason = "quarantined"
-	// ReasonTried: upstreams have ended under the request, and a copy of it is running.
+	// ReasonTried: the request is a suspect, and a copy of it is running at the upstream.
+	// Suspects run one copy at a time.
 	ReasonTried Reason = "being-tried"
-	// ReasonApart: another request under which upstreams have ended runs there, and the
-	// two must not run together.
+	// ReasonApart: the request is a suspect, and another suspect is running at the
+	// upstream. If the two ran together and the upstream crashed, the cause could not be
+	// told.
 	ReasonApart     Reason = "kept-apart"
 	ReasonDeadline  Reason = "deadline"
 	ReasonVoided    Reason = "voided"
 	ReasonStalled   Reason = "daemon-stalled"
 	ReasonDuplicate Reason = "duplicate"
 	ReasonBroken    Reason = "connection-broken"
-	// ReasonEnded: the upstream's process ended while the request ran there.
+	// ReasonEnded: the upstream crashed while it ran the request.
 	ReasonEnded     Reason = "upstream-ended"
 	ReasonCancelled Reason = "cancelled"
 )
 
-// Result is what became of an attempt.
+// Result is the result of an attempt.
 type Result struct {
 	Outcome Kind
 	// Reason explains an outcome other than Answered.
 	Reason Reason
-	// RetryAfter is when to come back after NotRun.
+	// RetryAfter is how long the caller should wait before a retry if Outcome is NotRun.
 	RetryAfter time.Duration
 	Load       Load
 	HasLoad    bool
-	// Took is how long the upstream took to answer; zero: not told.
+	// Took is how long the upstream took to answer; zero if unknown.
 	Took time.Duration
 	// Status, Header and Body are the answer, if Outcome is Answered. The
 	// receiver closes Body.
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// OwnerDown says that the owner itself could not be reached.
+	// OwnerDown is set if the owner itself was unreachable.
 	OwnerDown bool
-	// Lost says that the way to the owner broke: nothing is known of the upstream.
+	// Lost is set if the connection to the owner was lost, so that nothing is known of
+	// the upstream.
 	Lost bool
-	// Err is the cause of an outcome other than Answered, for the log.
+	// Err is the error behind an outcome other than Answered, for the log.
 	Err error
 }
 
-// Refuse returns the result of an attempt that has not run and never will.
+// Refuse returns the result of an attempt that has not run and never will, with the time
+// after which the caller may retry.
 func Refuse(reason Reason, after time.Duration) Result {
 	return Result{Outcome: NotRun, Reason: reason, RetryAfter: after}
 }
@@ -104,14 +108,14 @@
 	return Result{Outcome: Unknown, Reason: reason, Err: err}
 }
 
-// Reached reports whether an upstream may have got the request. Refusals by
-// an owner cost an upstream nothing.
+// Reached reports whether an upstream may have received the request. If an owner refused
+// it, the upstream did no work for it.
 func (r Result) Reached() bool {
 	return r.Outcome != NotRun || r.Reason == ReasonShed || r.Reason == ReasonMoved
 }
 
-// Ran reports whether the upstream is known to have got the request, or to have failed it
-// by ending or by not answering in time.
+// Ran reports whether the upstream is known to have received the request, or to have failed
+// it by breaking the connection, crashing or not answering in time.
 func (r Result) Ran() bool {
 	switch {
 	case r.Outcome == Answered:
@@ -122,18 +126,18 @@
 	return r.Reason == ReasonBroken || r.Reason == ReasonEnded || r.Reason == ReasonDeadline
 }
 
-// Full reports whether the owner had no room for the attempt.
+// Full reports whether the owner refused the attempt for lack of capacity at present.
 func (r Result) Full() bool {
 	return r.Outcome == NotRun && (r.Reason == ReasonOverload || r.Reason == ReasonLink || r.Reason == ReasonApart)
 }
 
-// OfRequest reports whether a refusal is for what is known of the request and tells
-// nothing of the upstream.
+// OfRequest reports whether the attempt was refused because the request is a suspect, which
+// says nothing about the state of the upstream.
 func (r Result) OfRequest() bool {
 	return r.Outcome == NotRun && (r.Reason == ReasonQuarantined || r.Reason == ReasonTried || r.Reason == ReasonApart)
 }
 
-// Away reports whether a refusal concerns all calls, however urgent.
+// Away reports whether the upstream accepts no calls at all, whatever their urgency.
 func (r Result) Away() bool {
 	switch r.Reason {
 	case ReasonDraining, ReasonGone, ReasonUnreachable, ReasonMoved:
@@ -142,13 +146,14 @@
 	return false
 }
 
-// MinRetryAfter and MaxRetryAfter bound the advice when to come back.
+// MinRetryAfter and MaxRetryAfter bound the advice when to retry.
 const (
 	MinRetryAfter = 20 * time.Millisecond
 	MaxRetryAfter = 10 * time.Second
 )
 
-// CancelReason says why an attempt whose context has ended got no answer.
+// CancelReason returns the reason for an attempt that got no answer because its context
+// was done.
 func CancelReason(ctx context.Context) Reason {
 	if ctx.Err() == context.DeadlineExceeded {
 		return ReasonDeadline
--- a/internal/suspect/digest.go
+++ b/internal/suspect/digest.go
@@ -1,4 +1,4 @@
-// Package suspect keeps which requests are suspected of ending the upstreams that run
+// Package suspect records which requests are suspected of crashing the upstreams that run
 // them.
 package suspect
 
@@ -10,11 +10,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest stands for all copies of a request, whatever their IDs: those with the same
-// caller, method, host, path, query and body. The host is empty where routes take any.
+// Digest identifies all copies of a request, whatever their IDs: those with the same
+// caller, method, host, path, query and body. The host is empty where routes match any.
 type Digest uint64
 
-// Of returns the digest of a request. It allocates nothing and reads the body once, at
+// Of returns the digest of a request. It does not allocate, and it reads the body once, at
 // about 10 GB/s.
 func Of(caller, method, host, path, query string, body []byte) Digest {
 	var h xxhash.Digest
@@ -30,10 +30,10 @@
 	return Digest(h.Sum64())
 }
 
-// String returns 16 hexadecimal digits, as in logs and messages.
+// String returns the digest as 16 hexadecimal digits, the form used in logs and messages.
 func (d Digest) String() string { return fmt.Sprintf("%016x", uint64(d)) }
 
-// ParseDigest reads what String wrote.
+// ParseDigest parses the form that String returns.
 func ParseDigest(s string) (Digest, error) {
 	n, err := strconv.ParseUint(s, 16, 64)
 	return Digest(n), err
--- a/internal/suspect/digest_test.go
+++ b/internal/suspect/digest_test.go
@@ -6,9 +6,10 @@
 	"github.com/matryer/is"
 )
 
-// TestDigestTellsRequestsApart: copies are alike, and each part that a caller chooses
-// counts, wherever one ends and the next begins.
-func TestDigestTellsRequestsApart(t *testing.T) {
+// TestDigestsOfDifferentRequestsDiffer checks that copies of a request have one digest, and
+// that every part which a caller chooses contributes to it, including the boundaries
+// between adjacent parts.
+func TestDigestsOfDifferentRequestsDiffer(t *testing.T) {
 	is := is.New(t)
 	base := Of("clerk", "GET", "a.example", "/x/1", "", nil)
 	is.Equal(base, Of("clerk", "GET", "a.example", "/x/1", "", []byte{}))
@@ -21,7 +22,7 @@
 		is.True(other != base)
 	}
 	is.Equal(testing.AllocsPerRun(100, func() { Of("clerk", "GET", "a.example", "/x/1", "", []byte("1")) }), 0.0)
-	back, err := ParseDigest(base.String())
+	parsed, err := ParseDigest(base.String())
 	is.NoErr(err)
-	is.Equal(back, base)
+	is.Equal(parsed, base)
 }
--- a/internal/suspect/recent.go
+++ b/internal/suspect/recent.go
@@ -6,68 +6,70 @@
 )
 
 const (
-	// recentWindow is how long a request counts as answered lately, twice that at the
-	// most: a request of which three copies run in a fifth of a fleet at once is
-	// answered by each upstream every few seconds.
+	// recentWindow is the length of a window. An answered request is remembered for one
+	// to two windows, or for less if maxRecent is reached. That is ample: a request of
+	// which three copies run in a fifth of a fleet at once is answered by each upstream
+	// every few seconds.
 	recentWindow = 30 * time.Second
-	// recentMost bounds the requests remembered of a window: what an upstream of 130
-	// calls a second answers in it. In memory two full windows take 0.3 MB.
-	recentMost = 4096
+	// maxRecent bounds the requests remembered per window: as many as an upstream that
+	// serves 130 calls a second answers in it. Two full windows take 0.3 MB of memory.
+	maxRecent = 4096
 )
 
-// Recent remembers the requests that were answered lately. Safe for concurrent use.
+// Recent remembers the requests that were answered recently. It is safe for concurrent
+// use.
 type Recent struct {
 	now func() time.Time
 
-	mu     sync.Mutex
-	turned time.Time
-	// current and before hold those of this window and of the one before it, and whether
-	// they were excused since.
-	current map[Digest]bool
-	before  map[Digest]bool
+	mu          sync.Mutex
+	windowStart time.Time
+	// current and previous hold the requests answered in this window and in the one
+	// before it. The value is true if Excuse has returned true since the last answer.
+	current  map[Digest]bool
+	previous map[Digest]bool
 }
 
-// NewRecent returns an empty memory.
+// NewRecent returns a Recent without any requests.
 func NewRecent(now func() time.Time) *Recent {
-	return &Recent{now: now, turned: now(), current: map[Digest]bool{}}
+	return &Recent{now: now, windowStart: now(), current: map[Digest]bool{}}
 }
 
-// Add takes note that a request was answered.
+// Add records that a request was answered.
 func (r *Recent) Add(d Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := r.now(); now.Sub(r.turned) >= recentWindow || len(r.current) >= recentMost {
-		r.before, r.current, r.turned = r.current, map[Digest]bool{}, now
+	if now := r.now(); now.Sub(r.windowStart) >= recentWindow || len(r.current) >= maxRecent {
+		r.previous, r.current, r.windowStart = r.current, map[Digest]bool{}, now
 	}
 	r.current[d] = false
 }
 
-// Has reports whether a request was answered lately.
+// Has reports whether a request was answered recently.
 func (r *Recent) Has(d Digest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, known := r.look(d)
+	_, known := r.lookup(d)
 	return known
 }
 
-// Excuse reports whether a request was answered lately and not excused since its last
-// answer.
+// Excuse reports whether a request is exempt from suspicion for one crash: it was answered
+// recently, and Excuse has not returned true for it since its last answer.
 func (r *Recent) Excuse(d Digest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	excused, known := r.look(d)
+	exempted, known := r.lookup(d)
 	if known {
 		r.current[d] = true
 	}
-	return known && !excused
+	return known && !exempted
 }
 
-func (r *Recent) look(d Digest) (excused, known bool) {
-	if r.now().Sub(r.turned) >= 2*recentWindow {
+func (r *Recent) lookup(d Digest) (exempted, known bool) {
+	if r.now().Sub(r.windowStart) >= 2*recentWindow {
 		return false, false
 	}
-	if excused, known = r.current[d]; !known {
-		excused, known = r.before[d]
+	if exempted, known = r.current[d]; !known {
+		exempted, known = r.previous[d]
 	}
-	return excused, known
+	return exempted, known
 }
--- a/internal/suspect/recent_test.go
+++ b/internal/suspect/recent_test.go
@@ -14,10 +14,10 @@
 	r.Add(1)
 	r.Add(2)
 	is.True(r.Excuse(1))
-	is.True(!r.Excuse(1)) // once
+	is.True(!r.Excuse(1)) // only once per answer
 	is.True(r.Has(1))
 	r.Add(1)
-	is.True(r.Excuse(1)) // and again after another answer
+	is.True(r.Excuse(1)) // again after another answer
 	c.at = c.at.Add(recentWindow)
 	r.Add(3)
 	is.True(r.Excuse(2))
@@ -26,10 +26,10 @@
 	c.at = c.at.Add(2 * recentWindow)
 	is.True(!r.Excuse(4))
 	is.True(!r.Has(4))
-	for i := range 3 * recentMost {
+	for i := range 3 * maxRecent {
 		r.Add(Digest(i + 10))
 	}
-	is.True(len(r.current)+len(r.before) <= 2*recentMost)
+	is.True(len(r.current)+len(r.previous) <= 2*maxRecent)
 }
 
 func BenchmarkAdd(b *testing.B) {
--- a/internal/suspect/record.go
+++ b/internal/suspect/record.go
@@ -9,57 +9,60 @@
 )
 
 const (
-	// Enough is how many upstreams have ended under a request when it is run no more.
-	// One end has as many suspects as runs were on it, 16 or more; two that coincide
-	// are still common where calls are tried again elsewhere; three without an answer
-	// in between are not.
+	// Enough is the number of upstreams that must have crashed while running a request
+	// for it to be quarantined. One crash makes suspects of all requests that ran at the
+	// upstream, 16 or more. That a harmless request is a suspect of two crashes is still
+	// common where calls are retried at other upstreams; of three crashes without an
+	// answer in between it is not.
 	Enough = 3
-	// Keep is how long a record is kept after its last change: by then somebody has
-	// looked at what ended three upstreams. A request that still ends them is stopped
-	// again after three more.
+	// Keep is how long a record is kept after its last change: long enough for somebody
+	// to investigate what crashed three upstreams. A request that still crashes them
+	// after that is quarantined again after three more crashes.
 	Keep = 24 * time.Hour
-	// skew is how far the clocks of two VMs may be apart. A record from later than that
-	// counts as of now.
-	skew = time.Minute
+	// maxClockSkew is how far the clocks of two VMs may differ. A record with a later
+	// timestamp than that allows is treated as changed now.
+	maxClockSkew = time.Minute
 )
 
-// End names one end of one upstream.
+// End identifies one crash of one upstream.
 type End uint64
 
-// EndOf names the n-th end that a life of a daemon saw of an upstream.
+// EndOf returns the identifier of the n-th crash of an upstream that a daemon saw during
+// the given incarnation of the daemon.
 func EndOf(upstream string, incarnation, n uint64) End {
 	h := xxhash.New()
 	// Writing to a hash never fails.
 	_, _ = h.WriteString(upstream)
-	_, _ = h.Write(numbers(incarnation, n))
+	_, _ = h.Write(bigEndianBytes(incarnation, n))
 	return End(h.Sum64())
 }
 
-// Record is what is known of a request. Two records of one request merge into the same
-// third one in whatever order, and however often, they come.
+// Record is what is known of one request. Merging records of a request gives the same
+// result in whatever order, and however often, they are merged.
 type Record struct {
 	Digest Digest `json:"d"`
-	// Round grows each time that an upstream answered the request: what ended before
-	// ended by something else.
+	// Round increases each time the request is cleared, usually because an upstream
+	// answered it: the crashes of earlier rounds had another cause and no longer count.
 	Round uint32 `json:"r,omitempty"`
-	// Vouched says that this round began without an answer: a daemon that had answered the
-	// request before has vouched for it, or an operator has cleared it.
+	// Vouched is set if this round began without an answer: the request was cleared by a
+	// daemon whose upstream had answered it earlier, or by an operator.
 	Vouched bool `json:"v,omitempty"`
-	// Ends are the upstreams that have ended under the request in this round, Enough at
-	// most, in order.
+	// Ends are the crashes that the request is suspected of in this round, sorted, at
+	// most Enough of them.
 	Ends []End `json:"e,omitempty"`
-	// At is when the record last changed, in Unix milliseconds of the clock of the
-	// daemon that changed it.
+	// At is when the record last changed, in Unix milliseconds by the clock of the daemon
+	// that changed it.
 	At int64 `json:"t"`
 }
 
-// Quarantined reports whether the request is run no more.
+// Quarantined reports whether the request must not be run any more.
 func (r Record) Quarantined() bool { return len(r.Ends) >= Enough }
 
-// Valid reports whether a record can be of a table's making.
+// Valid reports whether a record could have been produced by a Table.
 func (r Record) Valid() bool { return r.Digest != 0 && len(r.Ends) <= Enough }
 
-// merged returns what two records of a request say together.
+// merged returns the merge of two records of the same request: the record of the later
+// round or, within one round, the union of their crashes.
 func (r Record) merged(o Record) Record {
 	switch {
 	case o.Round > r.Round:
@@ -76,31 +79,32 @@
 	}
 }
 
-// Same reports whether two records of a request say the same of it.
+// Same reports whether two records of a request are equal but for the time of their last
+// change.
 func (r Record) Same(o Record) bool {
 	return r.Round == o.Round && r.Vouched == o.Vouched && slices.Equal(r.Ends, o.Ends)
 }
 
-// Expired reports whether a record is out of date.
+// Expired reports whether a record is past its retention period.
 func (r Record) Expired(now time.Time) bool { return now.UnixMilli()-r.At > Keep.Milliseconds() }
 
-// numbers returns numbers as bytes to be hashed.
-func numbers(words ...uint64) []byte {
-	b := make([]byte, 0, 8*len(words))
-	for _, w := range words {
+// bigEndianBytes returns the numbers in big-endian encoding, to be hashed.
+func bigEndianBytes(nums ...uint64) []byte {
+	b := make([]byte, 0, 8*len(nums))
+	for _, w := range nums {
 		b = binary.BigEndian.AppendUint64(b, w)
 	}
 	return b
 }
 
-// hash returns a number that differs between records that are not the same.
+// hash returns a hash of all that Same compares, and of the digest.
 func (r Record) hash() uint64 {
-	words := []uint64{uint64(r.Digest), uint64(r.Round)}
+	nums := []uint64{uint64(r.Digest), uint64(r.Round)}
 	if r.Vouched {
-		words = append(words, 0)
+		nums = append(nums, 0)
 	}
 	for _, e := range r.Ends {
-		words = append(words, uint64(e))
+		nums = append(nums, uint64(e))
 	}
-	return xxhash.Sum64(numbers(words...))
+	return xxhash.Sum64(bigEndianBytes(nums...))
 }
--- a/internal/suspect/table.go
+++ b/internal/suspect/table.go
@@ -8,38 +8,41 @@
 	"time"
 )
 
-// Most bounds the records of a table: the runs of 60 upstreams of 16 slots that end at
-// once. Beyond it those that were cleared go first, then those with the fewest ends, the
-// oldest first. In memory a full table takes 0.1 MB.
+// Most is the largest number of records in a table: enough for the requests running at 60
+// upstreams of 16 slots that crash at once. A full table evicts cleared records first,
+// then those with the fewest crashes; of equals it evicts the oldest. It takes 0.1 MB of
+// memory.
 const Most = 1024
 
-// sweepEvery is the interval at which records that are out of date are dropped.
-const sweepEvery = time.Minute
+// sweepInterval is the interval at which expired records are removed.
+const sweepInterval = time.Minute
 
-// Table is what a daemon knows of requests under which upstreams have ended. Where none
-// has, asking costs one load from memory. Safe for concurrent use.
+// Table holds a daemon's records of suspects. While there are none, Any costs one atomic
+// load. It is safe for concurrent use.
 type Table struct {
 	now func() time.Time
-	// suspected counts the records with ends.
+	// suspected counts the records with at least one crash.
 	suspected atomic.Int64
-	// changed gets a token when a record changes.
+	// changed receives a token when a record changes.
 	changed chan struct{}
 
-	mu    sync.Mutex
-	rows  map[Digest]*row
-	sweep time.Time
-	// fresh counts the rows that Changes has to give.
-	fresh int
+	mu        sync.Mutex
+	rows      map[Digest]*row
+	nextSweep time.Time
+	// pendingCount counts the rows that the next call of Changes returns.
+	pendingCount int
 }
 
 type row struct {
 	Record
-	// told is how many ends the last Changes gave, fresh that there is more to give.
-	told  int
-	fresh bool
+	// reportedEnds is the number of crashes that Changes last returned for the record;
+	// pending is set if the record has changed since.
+	reportedEnds int
+	pending      bool
 }
 
-// Change is a record that has changed, and how many ends it had before.
+// Change is a record that has changed, with the number of crashes that it had when Changes
+// last returned it.
 type Change struct {
 	Record
 	Before int
@@ -50,13 +53,14 @@
 	return &Table{now: now, changed: make(chan struct{}, 1), rows: map[Digest]*row{}}
 }
 
-// Any reports whether any request is suspected.
+// Any reports whether any request is a suspect.
 func (t *Table) Any() bool { return t.suspected.Load() > 0 }
 
-// Changed gets a token after changes that Changes has not given yet.
+// Changed returns a channel that receives a token when there are changes which Changes has
+// not returned yet.
 func (t *Table) Changed() <-chan struct{} { return t.changed }
 
-// Ends returns how many upstreams have ended under the request, Enough at most.
+// Ends returns the number of crashes that the request is suspected of, at most Enough.
 func (t *Table) Ends(d Digest) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,7 +70,7 @@
 	return 0
 }
 
-// Record returns what is known of a request. False: nothing.
+// Record returns the record of a request, or false if there is none.
 func (t *Table) Record(d Digest) (Record, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,28 +80,27 @@
 	return Record{}, false
 }
 
-// Charge takes note that an upstream has ended while it ran the request.
+// Charge records that an upstream crashed while it ran the request.
 func (t *Table) Charge(d Digest, e End) Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	charge := Record{Digest: d, Ends: []End{e}, At: t.now().UnixMilli()}
+	rec := Record{Digest: d, Ends: []End{e}, At: t.now().UnixMilli()}
 	if r := t.rows[d]; r != nil {
-		charge.Round = r.Round
+		rec.Round = r.Round
 	}
-	t.merge(charge)
+	t.merge(rec)
 	return t.rows[d].Record
 }
 
-// Answered takes note that an upstream has run the request and lives. It reports
-// whether that clears the request.
+// Answered records that an upstream ran the request without crashing. It reports whether
+// that cleared the request.
 func (t *Table) Answered(d Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.clear(d, false)
 }
 
-// Vouch clears a request without an answer. It reports whether there was anything to
-// clear.
+// Vouch clears a request without an answer. It reports whether the request was a suspect.
 func (t *Table) Vouch(d Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -112,7 +115,7 @@
 	return t.merge(Record{Digest: d, Round: r.Round + 1, Vouched: vouched, At: t.now().UnixMilli()})
 }
 
-// Merge takes in what another daemon knows. It reports whether that is news.
+// Merge merges a record from another daemon. It reports whether that changed the table.
 func (t *Table) Merge(o Record) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,56 +123,57 @@
 	if !o.Valid() || o.Expired(now) {
 		return false
 	}
-	if o.At > now.Add(skew).UnixMilli() {
+	if o.At > now.Add(maxClockSkew).UnixMilli() {
 		o.At = now.UnixMilli()
 	}
 	return t.merge(o)
 }
 
-// merge takes a record in. The caller holds the lock.
+// merge merges a record into the table. The caller holds the lock.
 func (t *Table) merge(o Record) bool {
-	t.expire()
+	t.dropExpired()
 	r := t.rows[o.Digest]
 	if r == nil {
-		t.makeRoom()
+		t.evict()
 		r = &row{Record: Record{Digest: o.Digest}}
 		t.rows[o.Digest] = r
 	} else if r.merged(o).Same(r.Record) {
 		return false
 	}
 	next := r.merged(o)
-	t.count(len(r.Ends), len(next.Ends))
+	t.updateSuspected(len(r.Ends), len(next.Ends))
 	r.Record = next
-	if !r.fresh {
-		r.fresh = true
-		t.fresh++
+	if !r.pending {
+		r.pending = true
+		t.pendingCount++
 	}
 	select {
 	case t.changed <- struct{}{}:
-	default: // one token is enough
+	default: // a token is already pending
 	}
 	return true
 }
 
-// count follows a record's number of ends.
-func (t *Table) count(before, after int) {
+// updateSuspected updates the count of suspects after a record's number of crashes has
+// changed.
+func (t *Table) updateSuspected(before, after int) {
 	t.suspected.Add(int64(min(after, 1) - min(before, 1)))
 }
 
 func (t *Table) drop(r *row) {
-	t.count(len(r.Ends), 0)
-	if r.fresh {
-		t.fresh--
+	t.updateSuspected(len(r.Ends), 0)
+	if r.pending {
+		t.pendingCount--
 	}
 	delete(t.rows, r.Digest)
 }
 
-func (t *Table) expire() {
+func (t *Table) dropExpired() {
 	now := t.now()
-	if now.Before(t.sweep) {
+	if now.Before(t.nextSweep) {
 		return
 	}
-	t.sweep = now.Add(sweepEvery)
+	t.nextSweep = now.Add(sweepInterval)
 	for _, r := range t.rows {
 		if r.Expired(now) {
 			t.drop(r)
@@ -177,39 +181,39 @@
 	}
 }
 
-func (t *Table) makeRoom() {
+func (t *Table) evict() {
 	if len(t.rows) < Most {
 		return
 	}
-	var least *row
+	var victim *row
 	for _, r := range t.rows {
-		if least == nil || cmp.Or(cmp.Compare(len(r.Ends), len(least.Ends)), cmp.Compare(r.At, least.At)) < 0 {
-			least = r
+		if victim == nil || cmp.Or(cmp.Compare(len(r.Ends), len(victim.Ends)), cmp.Compare(r.At, victim.At)) < 0 {
+			victim = r
 		}
 	}
-	t.drop(least)
+	t.drop(victim)
 }
 
-// Changes returns what has changed since it was last called, by digest.
+// Changes returns the records that have changed since it was last called, sorted by digest.
 func (t *Table) Changes() []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.fresh == 0 {
+	if t.pendingCount == 0 {
 		return nil
 	}
-	t.fresh = 0
+	t.pendingCount = 0
 	var out []Change
 	for _, r := range t.rows {
-		if r.fresh {
-			out = append(out, Change{Record: r.Record, Before: r.told})
-			r.told, r.fresh = len(r.Ends), false
+		if r.pending {
+			out = append(out, Change{Record: r.Record, Before: r.reportedEnds})
+			r.reportedEnds, r.pending = len(r.Ends), false
 		}
 	}
 	slices.SortFunc(out, func(a, b Change) int { return cmp.Compare(a.Digest, b.Digest) })
 	return out
 }
 
-// Records returns all that is known and not out of date, by digest.
+// Records returns all records that have not expired, sorted by digest.
 func (t *Table) Records() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -224,8 +228,8 @@
 	return out
 }
 
-// Hash returns a number that is the same for tables that say the same, and zero for an
-// empty one.
+// Hash returns a hash of all records, independent of their order. It is zero for an empty
+// table.
 func (t *Table) Hash() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/suspect/table_test.go
+++ b/internal/suspect/table_test.go
@@ -10,18 +10,18 @@
 	"pgregory.net/rapid"
 )
 
-// clock is a clock that a test sets.
+// clock is a clock that a test sets by hand.
 type clock struct{ at time.Time }
 
 func (c *clock) now() time.Time { return c.at }
 
 func newClock() *clock { return &clock{at: time.Unix(1_700_000_000, 0)} }
 
-func TestThreeEndsQuarantineAndAnAnswerClears(t *testing.T) {
+func TestThreeCrashesQuarantineAndAnAnswerClears(t *testing.T) {
 	is := is.New(t)
 	tab := NewTable(newClock().now)
 	is.True(!tab.Any())
-	for _, e := range []End{1, 1, 2} { // one end is one, however many copies it broke
+	for _, e := range []End{1, 1, 2} { // a crash counts once, however many copies of the request ran there
 		tab.Charge(7, e)
 	}
 	is.Equal(tab.Ends(7), 2)
@@ -30,15 +30,16 @@
 	is.True(!tab.Any())
 	is.True(!tab.Answered(7)) // nothing to clear
 	for _, e := range []End{3, 4} {
-		is.True(!tab.Charge(7, e).Quarantined()) // those before the answer do not count
+		is.True(!tab.Charge(7, e).Quarantined()) // crashes before the answer do not count
 	}
 	is.True(tab.Charge(7, 5).Quarantined())
 	is.True(tab.Any())
 }
 
-// TestRecordsMergeAlikeInAnyOrder gives the same charges, answers and copies of records
-// to three tables in any order; once each has seen the others', all say the same.
-func TestRecordsMergeAlikeInAnyOrder(t *testing.T) {
+// TestMergeDoesNotDependOnOrder applies random crashes, answers and merges to three tables.
+// After all have exchanged their records they must be equal; otherwise daemons would
+// disagree on which requests are quarantined.
+func TestMergeDoesNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newClock()
 		tabs := []*Table{NewTable(c.now), NewTable(c.now), NewTable(c.now)}
@@ -53,36 +54,37 @@
 			case 2:
 				tab.Vouch(d)
 			default:
-				share(tab, tabs[rapid.IntRange(0, 2).Draw(rt, "from")])
+				mergeAll(tab, tabs[rapid.IntRange(0, 2).Draw(rt, "from")])
 			}
 		}
-		for range 2 { // what the last one knows must reach the first
+		for range 2 { // the last table's records reach the first in the second pass
 			for i, tab := range tabs {
-				share(tab, tabs[(i+1)%3])
-				share(tab, tabs[(i+2)%3])
+				mergeAll(tab, tabs[(i+1)%3])
+				mergeAll(tab, tabs[(i+2)%3])
 			}
 		}
 		for _, tab := range tabs[1:] {
 			if tab.Hash() != tabs[0].Hash() {
-				rt.Fatalf("%v and %v", tab.Records(), tabs[0].Records())
+				rt.Fatalf("tables differ after an exchange: %v and %v", tab.Records(), tabs[0].Records())
 			}
 		}
 		for _, tab := range tabs {
 			if suspected := slices.ContainsFunc(tab.Records(), func(r Record) bool { return len(r.Ends) > 0 }); suspected != tab.Any() {
-				rt.Fatalf("suspected %v: %v", suspected, tab.Records())
+				rt.Fatalf("Any differs from suspects present (%v) in records %v", suspected, tab.Records())
 			}
 		}
 	})
 }
 
-func share(to, from *Table) {
+func mergeAll(to, from *Table) {
 	for _, r := range from.Records() {
 		to.Merge(r)
 	}
 }
 
-// TestTableIsBounded floods a table with requests under which one upstream has ended: it
-// keeps Most records, and of the request that is a step from quarantine what it knows.
+// TestTableIsBounded floods a table with requests that are suspected of one crash each. The
+// table must keep Most records, and must not evict the request that is one crash short of
+// quarantine.
 func TestTableIsBounded(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
@@ -98,22 +100,22 @@
 	is.Equal(int(tab.suspected.Load()), Most)
 }
 
-func TestRecordsExpireAndAreNotTakenInLate(t *testing.T) {
+func TestExpiredRecordsAreDroppedAndNotMerged(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
 	tab := NewTable(c.now)
 	old := tab.Charge(1, 1)
 	c.at = c.at.Add(Keep + time.Second)
-	is.True(!tab.Merge(old)) // another daemon's copy does not bring it back
+	is.True(!tab.Merge(old)) // another daemon's copy does not restore it
 	tab.Charge(2, 1)
 	is.Equal(tab.Ends(1), 0)
 	is.Equal(len(tab.Records()), 1)
 	is.True(tab.Merge(Record{Digest: 3, Ends: []End{1}, At: c.at.Add(2 * Keep).UnixMilli()}))
 	r, _ := tab.Record(3)
-	is.Equal(r.At, c.at.UnixMilli()) // a clock that runs ahead keeps nothing for longer
+	is.Equal(r.At, c.at.UnixMilli()) // a clock that runs ahead does not prolong the retention
 }
 
-func TestForeignRecordsChangeNothing(t *testing.T) {
+func TestInvalidRecordsAreNotMerged(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
 	tab := NewTable(c.now)
@@ -122,7 +124,7 @@
 	is.Equal(len(tab.Records()), 0)
 }
 
-func TestChangesTellEachStepOnce(t *testing.T) {
+func TestChangesReturnsEachChangeOnce(t *testing.T) {
 	is := is.New(t)
 	tab := NewTable(newClock().now)
 	tab.Charge(1, 1)
@@ -137,49 +139,49 @@
 	is.Equal(tab.Changes()[0].Before, 2)
 }
 
-// BenchmarkAsk is what a call pays: nothing is suspected, as on most days, and something is.
-func BenchmarkAsk(b *testing.B) {
+// BenchmarkLookup measures the cost per call, without any suspects (the usual case) and with
+// a full table.
+func BenchmarkLookup(b *testing.B) {
 	tab := NewTable(time.Now)
 	body := make([]byte, 1000)
-	ask := func(b *testing.B) {
+	lookup := func(b *testing.B) {
 		for b.Loop() {
 			if tab.Any() {
 				tab.Ends(Of("clerk", "GET", "a.example", "/tickets/42", "", body))
 			}
 		}
 	}
-	b.Run("none", ask)
+	b.Run("none", lookup)
 	for i := range Most {
 		tab.Charge(Digest(i+1), End(i))
 	}
-	b.Run("full", ask)
+	b.Run("full", lookup)
 }
 
-// TestMemoryIsBounded measures a full table, of requests that are all in quarantine, and a
-// full memory of what was answered lately. Aim: 1 MB of the 128 that a daemon may take for
-// control.
+// TestMemoryIsBounded measures a full table, with all requests quarantined, and a full
+// Recent. Both together may take 1 MB of the 128 MB that a daemon may use for control.
 func TestMemoryIsBounded(t *testing.T) {
 	c := newClock()
-	before := heap()
+	before := heapInUse()
 	tab, recent := NewTable(c.now), NewRecent(c.now)
 	for d := range Digest(2 * Most) {
 		for e := range End(Enough) {
 			tab.Charge(d+1, End(d)*10+e)
 		}
 	}
-	full := heap()
-	for d := range Digest(4 * recentMost) {
+	withTable := heapInUse()
+	for d := range Digest(4 * maxRecent) {
 		recent.Add(d)
 	}
-	both := heap()
-	t.Logf("%d records take %d KB, %d answered requests %d KB", len(tab.Records()), (full-before)>>10,
-		len(recent.current)+len(recent.before), (both-full)>>10)
-	if both-before > 1<<20 {
-		t.Errorf("%d bytes", both-before)
+	withRecent := heapInUse()
+	t.Logf("%d records take %d KB, %d answered requests %d KB", len(tab.Records()), (withTable-before)>>10,
+		len(recent.current)+len(recent.previous), (withRecent-withTable)>>10)
+	if withRecent-before > 1<<20 {
+		t.Errorf("table and recent requests take %d bytes, want at most 1 MB", withRecent-before)
 	}
 }
 
-func heap() uint64 {
+func heapInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
