--- a/internal/view/routes.go
+++ b/internal/view/routes.go
@@ -12,72 +12,77 @@
 	"github.com/comfreygate/comfreygate/internal/quota"
 )
 
-// Route is a route with everything it names but its services.
+// Route is a route of the configuration with its policy and callers resolved; services are
+// referenced by name.
 type Route struct {
 	Name string
 	Host string
 	Path string
-	// Targets are where its calls go. There may be none: they are refused.
+	// Targets are the services that get the route's calls. If there are none, the calls
+	// are refused.
 	Targets []Target
 	Policy  config.Policy
 	Callers map[string]config.Caller
-	// Open says that anybody may use the route.
+	// Open is set if any caller may use the route.
 	Open bool
-	// Public says that calls need no workspace's key.
+	// Public is set if calls need no workspace's key.
 	Public bool
-	turn   *atomic.Uint64
-	// from is what the route was made of.
-	from config.Route
+	// counter counts the calls, to spread them over the targets.
+	counter *atomic.Uint64
+	// source is the configured route that this one was built from.
+	source config.Route
 }
 
-// Target is a service's share of a route.
+// Target is a service that gets a share of a route's calls.
 type Target struct {
 	Service string
-	// Until is the share of this target and those before it, from 0 to 1.
+	// Until is the cumulative share of this target and those before it, from 0 to 1.
 	Until float64
 }
 
-// turnStep spreads consecutive calls evenly over the shares: the fractional
-// part of the golden ratio, whose multiples fill the interval most evenly.
-const turnStep = 0.6180339887498949
+// goldenRatioFraction is the fractional part of the golden ratio. The fractional parts of
+// its multiples fill the interval from 0 to 1 most evenly, which spreads consecutive calls
+// evenly over the shares.
+const goldenRatioFraction = 0.6180339887498949
 
-// Next returns the service of the next call of a route that has targets. Any 20 calls in a row keep each
-// share within a tenth or so, where independent draws would need 300.
+// Next returns the service for the next call of a route, which must have targets. Each
+// target's share of any 20 consecutive calls is within about a tenth of what is configured;
+// independent random draws would need 300 calls for that.
 func (r *Route) Next() string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
 	}
-	_, at := math.Modf(float64(r.turn.Add(1)) * turnStep)
+	_, fraction := math.Modf(float64(r.counter.Add(1)) * goldenRatioFraction)
 	for _, t := range r.Targets {
-		if at < t.Until {
+		if fraction < t.Until {
 			return t.Service
 		}
 	}
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// place is where a route applies. Hosts are in lower case.
-type place struct{ host, path string }
+// routeKey is the host, in lower case, and the path that a route is looked up by.
+type routeKey struct{ host, path string }
 
 // Routes are the routes of one configuration. They are immutable.
 type Routes struct {
-	// state is the configuration that they were made of.
+	// state is the configuration that the routes were built from.
 	state  *config.State
 	byName map[string]*Route
-	index  map[place]*Route
-	// hosts are those that routes name.
+	index  map[routeKey]*Route
+	// hosts are the hosts named by routes.
 	hosts map[string]bool
 	// keyed is set if there are workspaces. Without any, calls need no key.
 	keyed bool
-	// keys holds them by config.KeyHash of each of their keys.
+	// keys holds the workspaces by the config.KeyHash of each of their keys.
 	keys map[string]*config.Workspace
-	// limits holds those of the workspaces that have one, by name.
+	// limits holds the limits of the workspaces that have one, by workspace name.
 	limits map[string]quota.Limit
-	// broken says what makes them unusable, or is nil.
-	broken error
+	// invalid is the first reference to a missing entity, or nil.
+	invalid error
 }
 
-// NewRoutes returns these routes.
+// NewRoutes returns tables that hold the given routes.
 func NewRoutes(list ...*Route) *Routes {
 	t := emptyRoutes(len(list))
 	for _, r := range list {
@@ -86,68 +91,69 @@
 	return t
 }
 
-// emptyRoutes returns tables with room for n routes.
+// emptyRoutes returns tables with capacity for n routes.
 func emptyRoutes(n int) *Routes {
-	return &Routes{byName: make(map[string]*Route, n), index: make(map[place]*Route, n), hosts: map[string]bool{}}
+	return &Routes{byName: make(map[string]*Route, n), index: make(map[routeKey]*Route, n), hosts: map[string]bool{}}
 }
 
 func (t *Routes) add(r *Route) {
 	t.byName[r.Name] = r
-	// Of two routes at one place the first by name counts, on every daemon.
-	at := place{host: strings.ToLower(r.Host), path: r.Path}
-	t.hosts[at.host] = true
-	if other := t.index[at]; other == nil || r.Name < other.Name {
-		t.index[at] = r
+	// If two routes have the same host and path, the first by name is used, so that all
+	// daemons agree.
+	key := routeKey{host: strings.ToLower(r.Host), path: r.Path}
+	t.hosts[key.host] = true
+	if other := t.index[key]; other == nil || r.Name < other.Name {
+		t.index[key] = r
 	}
 }
 
-// follow returns the routes of the state. Routes that stay as they are, mostly
-// all, are taken over, with where their shares have got to; t may be nil.
-func (t *Routes) follow(state *config.State) *Routes {
+// forState returns the routes of the state. Unchanged routes, usually nearly all, are
+// reused together with their call counters. t may be nil.
+func (t *Routes) forState(state *config.State) *Routes {
 	if t != nil && t.state == state {
 		return t
 	}
-	var known map[string]*Route
+	var reusable map[string]*Route
 	if t != nil {
-		known = t.byName
+		reusable = t.byName
 	}
 	c := state.Content
 	next := emptyRoutes(len(c.Routes))
 	next.state = state
 	for name, r := range c.Routes {
-		old := known[name]
-		if old == nil || !old.madeOf(r, c) {
+		old := reusable[name]
+		if old == nil || !old.builtFrom(r, c) {
 			old = newRoute(r, c)
 		}
-		next.check(old, c)
+		next.checkReferences(old, c)
 		next.add(old)
 	}
 	next.Admit(c.Workspaces)
 	return next
 }
 
-// madeOf reports whether the route would be the same if it were made again.
-func (r *Route) madeOf(from config.Route, c config.Content) bool {
-	return len(from.Callers) == 0 && r.from.Equal(from) && r.Policy.Equal(c.Policies[from.Policy])
+// builtFrom reports whether rebuilding the route from source would give the same route.
+func (r *Route) builtFrom(source config.Route, c config.Content) bool {
+	return len(source.Callers) == 0 && r.source.Equal(source) && r.Policy.Equal(c.Policies[source.Policy])
 }
 
-// maxTurn bounds where the turns of a route begin, so that the daemons do not
-// all send their first calls to the same share.
-const maxTurn = 1 << 20
+// maxInitialCounter bounds the random initial value of a call counter, which keeps the
+// daemons from all sending their first calls to the same share.
+const maxInitialCounter = 1 << 20
 
 func newRoute(r config.Route, c config.Content) *Route {
 	route := &Route{
 		Name: r.Name, Host: r.Host, Path: r.Path, Targets: targets(r), Policy: c.Policies[r.Policy],
-		Callers: make(map[string]config.Caller, len(r.Callers)), Open: r.Open, Public: r.Public, turn: new(atomic.Uint64), from: r,
+		Callers: make(map[string]config.Caller, len(r.Callers)), Open: r.Open, Public: r.Public, counter: new(atomic.Uint64), source: r,
 	}
-	route.turn.Store(rand.Uint64N(maxTurn))
+	route.counter.Store(rand.Uint64N(maxInitialCounter))
 	for _, name := range r.Callers {
 		route.Callers[name] = c.Callers[name]
 	}
 	return route
 }
 
-// targets returns the services that get calls; a share without weight is none.
+// targets returns the services that get calls. Those with a weight of zero are left out.
 func targets(r config.Route) []Target {
 	var list []Target
 	total, sum := 0, 0
@@ -164,42 +170,42 @@
 	return list
 }
 
-// check notes the first thing that the route names and the content lacks.
-func (t *Routes) check(r *Route, c config.Content) {
-	if t.broken != nil {
+// checkReferences records the first entity that the route names and the content lacks.
+func (t *Routes) checkReferences(r *Route, c config.Content) {
+	if t.invalid != nil {
 		return
 	}
 	if r.Policy.Name == "" {
-		t.broken = errors.Errorf("route %s has no policy", r.Name)
+		t.invalid = errors.Errorf("route %s names a policy that does not exist", r.Name)
 	}
 	for name, caller := range r.Callers {
 		if caller.Name != name {
-			t.broken = errors.Errorf("route %s has no caller %s", r.Name, name)
+			t.invalid = errors.Errorf("route %s names caller %s, which does not exist", r.Name, name)
 		}
 	}
 	for _, target := range r.Targets {
 		if _, ok := c.Services[target.Service]; !ok {
-			t.broken = errors.Errorf("route %s has no service %s", r.Name, target.Service)
+			t.invalid = errors.Errorf("route %s names service %s, which does not exist", r.Name, target.Service)
 		}
 	}
 }
 
-// Match returns the route with the longest path that covers path: one of the
-// host if there is any, else one for all hosts.
+// Match returns the route with the longest path prefix that matches path. Routes of the
+// host take precedence over routes for all hosts.
 func (v *View) Match(host, path string) (*Route, bool) {
 	if v.Routes == nil {
 		return nil, false
 	}
-	if r := v.Routes.longest(v.Routes.hostOf(host), path); r != nil {
+	if r := v.Routes.longestPrefix(v.Routes.normalizeHost(host), path); r != nil {
 		return r, true
 	}
-	r := v.Routes.longest("", path)
+	r := v.Routes.longestPrefix("", path)
 	return r, r != nil
 }
 
-// hostOf returns the host that a call names, as routes do: in lower case, and without a port
-// unless routes name it with that port.
-func (t *Routes) hostOf(host string) string {
+// normalizeHost returns the host of a call in the form in which routes name it: in lower
+// case, and without the port unless a route names the host with that port.
+func (t *Routes) normalizeHost(host string) string {
 	host = strings.ToLower(host)
 	if t.hosts[host] {
 		return host
@@ -210,25 +216,25 @@
 	return host
 }
 
-func (t *Routes) longest(host, path string) *Route {
-	if r := t.index[place{host, path}]; r != nil {
+func (t *Routes) longestPrefix(host, path string) *Route {
+	if r := t.index[routeKey{host, path}]; r != nil {
 		return r
 	}
 	for i := len(path) - 1; i >= 0; i-- {
 		if path[i] != '/' {
 			continue
 		}
-		if r := t.index[place{host, path[:i+1]}]; r != nil {
+		if r := t.index[routeKey{host, path[:i+1]}]; r != nil {
 			return r
 		}
-		if r := t.index[place{host, path[:i]}]; r != nil {
+		if r := t.index[routeKey{host, path[:i]}]; r != nil {
 			return r
 		}
 	}
 	return nil
 }
 
-// Admit makes these workspaces the ones whose keys calls need.
+// Admit sets the workspaces whose keys and limits apply to calls.
 func (t *Routes) Admit(workspaces map[string]config.Workspace) {
 	t.keyed = len(workspaces) > 0
 	t.keys = make(map[string]*config.Workspace, len(workspaces))
@@ -243,17 +249,18 @@
 	}
 }
 
-// Keyed reports whether there are workspaces, so that calls need keys.
+// Keyed reports whether there are any workspaces, in which case calls need keys.
 func (t *Routes) Keyed() bool { return t.keyed }
 
-// CallLimits returns the limits of workspaces that have one, by name. They must not be changed.
+// CallLimits returns the limits of the workspaces that have one, by workspace name. The map
+// must not be changed.
 func (t *Routes) CallLimits() map[string]quota.Limit { return t.limits }
 
 // Keyed reports whether calls of the route need a workspace's key.
 func (v *View) Keyed(r *Route) bool { return v.Routes.keyed && !r.Public }
 
-// Workspace returns the workspace that holds a key. What is compared are digests, so that
-// the time it takes tells nothing of the keys that are held.
+// Workspace returns the workspace that holds a key. It compares digests of keys, so that its
+// timing reveals nothing about the valid keys.
 func (v *View) Workspace(key string) (*config.Workspace, bool) {
 	ws, ok := v.Routes.keys[config.KeyHash(key)]
 	return ws, ok
--- a/internal/view/routes_test.go
+++ b/internal/view/routes_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// TestHostsMatchInAnyCaseAndWithAPort guards against proper calls refused with 404 for the
-// form in which they name a host.
-func TestHostsMatchInAnyCaseAndWithAPort(t *testing.T) {
+// TestMatchIgnoresHostCaseAndPort guards against valid calls refused with 404 because their
+// host is written in another case or with a port.
+func TestMatchIgnoresHostCaseAndPort(t *testing.T) {
 	v := &View{Routes: NewRoutes(
 		&Route{Name: "one", Host: "One.example", Path: "/one/"}, &Route{Name: "six", Host: "[fd00::1]", Path: "/six/"},
 		&Route{Name: "two", Host: "two.example:8080", Path: "/two/"}, &Route{Name: "any", Path: "/any/"},
--- a/internal/view/split.go
+++ b/internal/view/split.go
@@ -12,71 +12,73 @@
 	"github.com/comfreygate/comfreygate/internal/table"
 )
 
-// Split divides a service's calls between a version that is rolled out and the others. The
-// service's own list holds those that take the rest.
+// Split divides a service's calls between the version that is rolled out and the others.
+// Calls for which neither Trial nor Fallback returns upstreams go to the service's own list.
 type Split struct {
-	target   string
-	plan     rollout.Plan
-	since    time.Time
-	moving   time.Time
-	evidence *rollout.Evidence
-	// tried are the IDs of the upstreams tried, windows those that are at one time, by
-	// the first of them.
-	tried   []string
-	windows []*Service
-	// others is how many upstreams are not of the version; fallback holds them while
-	// calls move.
+	target      string
+	plan        rollout.Plan
+	since       time.Time
+	movingSince time.Time
+	evidence    *rollout.Evidence
+	// canaries are the IDs of the upstreams on which the new version is tried. windows
+	// holds, for each of them, the canaries that get calls at the same time, beginning
+	// with that one.
+	canaries []string
+	windows  []*Service
+	// others is the number of upstreams of other versions. fallback holds them while
+	// calls move to the new version.
 	others   int
 	fallback *Service
-	turn     *atomic.Uint64
+	// counter counts the calls, to spread them over the versions.
+	counter *atomic.Uint64
 }
 
-// fallbackPart is the part of the time given to move in which a call that finds no room at
-// the new version may still go to another.
-const fallbackPart = 0.5
+// fallbackFraction is the fraction of the time allowed for moving calls during which a call
+// that finds no capacity at the new version may still go to another version.
+const fallbackFraction = 0.5
 
-// Trial returns the upstreams of the new version that the next call goes to, if it is one
-// of the part that goes there.
+// Trial returns the upstreams of the new version for the next call, or nil if the call
+// belongs to the share of the other versions.
 func (s *Split) Trial(now time.Time) *Service {
 	if len(s.windows) == 0 {
 		return nil
 	}
 	elapsed := now.Sub(s.since)
 	first := s.windows[s.plan.Turn(max(0, elapsed), len(s.windows))]
-	_, at := math.Modf(float64(s.turn.Add(1)) * turnStep)
-	if at >= s.plan.Share(elapsed, len(first.Upstreams), s.others) {
+	_, fraction := math.Modf(float64(s.counter.Add(1)) * goldenRatioFraction)
+	if fraction >= s.plan.Share(elapsed, len(first.Upstreams), s.others) {
 		return nil
 	}
 	return first
 }
 
-// Fallback returns the upstreams of other versions, as long as calls that find no room at
-// the new one may go there; else nil.
+// Fallback returns the upstreams of the other versions while calls that find no capacity at
+// the new version may go there, else nil.
 func (s *Split) Fallback(now time.Time) *Service {
-	if s.fallback == nil || now.Sub(s.moving) > time.Duration(fallbackPart*float64(s.plan.CompleteAfter())) {
+	if s.fallback == nil || now.Sub(s.movingSince) > time.Duration(fallbackFraction*float64(s.plan.CompleteAfter())) {
 		return nil
 	}
 	return s.fallback
 }
 
-// Ran is a call that an upstream has run.
+// Ran describes a call that an upstream has run.
 type Ran struct {
 	Route    string
 	Upstream Upstream
 	Failed   bool
-	// Took is how long the upstream took, as its owner has measured it; zero: not told.
+	// Took is how long the upstream took, as measured by its owner; zero if unknown.
 	Took time.Duration
 }
 
-// Note counts a call as evidence.
+// Note adds a call to the evidence about the new version.
 func (s *Split) Note(now time.Time, r Ran) {
 	if s.evidence == nil {
 		return
 	}
 	seen := rollout.Seen{
-		Route: r.Route, Target: r.Upstream.Version == s.target, Moved: !s.moving.IsZero(), Failed: r.Failed, Took: r.Took,
+		Route: r.Route, Target: r.Upstream.Version == s.target, Moved: !s.movingSince.IsZero(), Failed: r.Failed, Took: r.Took,
 	}
-	if seen.Target && slices.Contains(s.tried, r.Upstream.ID) {
+	if seen.Target && slices.Contains(s.canaries, r.Upstream.ID) {
 		seen.Upstream = r.Upstream.ID
 	}
 	if !s.plan.Warm(now.Sub(s.since)) {
@@ -85,26 +87,27 @@
 	s.evidence.Note(seen)
 }
 
-// splitServices takes the upstreams apart of services that are rolled out.
+// splitServices divides the upstreams of services that have a rollout or a version on
+// probation. The call counters of the view before are reused.
 func (v *View) splitServices(w *table.World, before *View) {
 	for name, s := range v.Services {
 		r := w.Rollouts[name]
 		if r != nil {
-			v.follow(w, s, r)
+			v.applyRollout(w, s, r)
 		}
 		if version, ok := w.Probation[name]; ok && (r == nil || !r.Live()) {
-			s.Split = v.try(w, s, probation(w, name, version))
+			s.Split = v.splitTrial(w, s, probation(w, name, version))
 		}
 		if before == nil || s.Split == nil {
 			continue
 		}
 		if old := before.Services[name]; old != nil && old.Split != nil {
-			s.Split.turn = old.Split.turn
+			s.Split.counter = old.Split.counter
 		}
 	}
 }
 
-// RollsOut reports whether a version of any service is being rolled out.
+// RollsOut reports whether the calls of any service are split between versions.
 func (v *View) RollsOut() bool {
 	for _, s := range v.Services {
 		if s.Split != nil {
@@ -114,60 +117,62 @@
 	return false
 }
 
-// probationPart is the part of a plan's time that a version on probation goes through: it
-// is tried thinly, and no more.
-const probationPart = 0.4
+// probationFraction is the fraction of a plan's duration that the probation of a version
+// covers: only the first step, in which the version gets a small share of the calls.
+const probationFraction = 0.4
 
-// probation returns what a version is tried by that has just appeared.
+// probation returns the rollout by which a version is tried that has just appeared without
+// an order.
 func probation(w *table.World, service, version string) *table.Rollout {
-	lasts := time.Duration(float64(w.Params.InForce) / probationPart)
+	duration := time.Duration(float64(w.Params.InForce) / probationFraction)
 	return &table.Rollout{
-		Record: rollout.Record{Order: rollout.Order{Service: service, Target: version, Duration: lasts}},
+		Record: rollout.Record{Order: rollout.Order{Service: service, Target: version, Duration: duration}},
 		Since:  w.Versions[service][version],
 	}
 }
 
-// follow divides a service as its roll-out says.
-func (v *View) follow(w *table.World, s *Service, r *table.Rollout) {
-	s.drop(func(u Upstream) bool { return slices.Contains(r.Barred, u.Version) })
+// applyRollout divides a service's upstreams according to the phase of its rollout.
+func (v *View) applyRollout(w *table.World, s *Service, r *table.Rollout) {
+	s.remove(func(u Upstream) bool { return slices.Contains(r.Barred, u.Version) })
 	isTarget := func(u Upstream) bool { return u.Version == r.Target }
 	switch {
 	case r.Phase == rollout.Completed && !r.Settled:
 		if slices.ContainsFunc(s.Upstreams, isTarget) {
-			s.drop(func(u Upstream) bool { return !isTarget(u) })
+			s.remove(func(u Upstream) bool { return !isTarget(u) })
 		}
 	case r.Live() && r.Stop != "":
-		s.drop(isTarget)
+		s.remove(isTarget)
 	case r.Phase == rollout.Trying:
-		s.Split = v.try(w, s, r)
+		s.Split = v.splitTrial(w, s, r)
 	case r.Phase == rollout.Moving:
-		s.Split = v.move(w, s, r)
+		s.Split = v.splitMove(w, s, r)
 	}
 }
 
-// drop leaves upstreams out.
-func (s *Service) drop(out func(Upstream) bool) {
-	s.Upstreams = slices.DeleteFunc(s.Upstreams, out)
+// remove removes the upstreams that match.
+func (s *Service) remove(match func(Upstream) bool) {
+	s.Upstreams = slices.DeleteFunc(s.Upstreams, match)
 }
 
-// lane returns a part of a service's upstreams. Its name tells it from other parts.
-func (s *Service) lane(name string, list []Upstream) *Service {
-	part := &Service{Service: s.Service, Upstreams: list}
-	part.Name = s.Name + "\x00" + name
-	return part
+// subset returns a service with the given subset of the upstreams, under a name of its own.
+func (s *Service) subset(name string, upstreams []Upstream) *Service {
+	sub := &Service{Service: s.Service, Upstreams: upstreams}
+	sub.Name = s.Name + "\x00" + name
+	return sub
 }
 
 func newSplit(w *table.World, r *table.Rollout) *Split {
 	sp := &Split{
-		target: r.Target, plan: w.Plan(r.Duration), since: r.Since, evidence: r.Evidence, turn: new(atomic.Uint64),
+		target: r.Target, plan: w.Plan(r.Duration), since: r.Since, evidence: r.Evidence, counter: new(atomic.Uint64),
 	}
-	sp.turn.Store(rand.Uint64N(maxTurn))
+	sp.counter.Store(rand.Uint64N(maxInitialCounter))
 	return sp
 }
 
-// try leaves the others to the service and gives the split those that are tried. Nil: there
-// are no others, and the version serves all.
-func (v *View) try(w *table.World, s *Service, r *table.Rollout) *Split {
+// splitTrial leaves the upstreams of other versions to the service and puts the canaries
+// into the split. It returns nil if there are no other versions: the new one then gets all
+// calls.
+func (v *View) splitTrial(w *table.World, s *Service, r *table.Rollout) *Split {
 	if !slices.ContainsFunc(s.Upstreams, func(u Upstream) bool { return u.Version != r.Target }) {
 		return nil
 	}
@@ -180,25 +185,25 @@
 			ids = append(ids, u.ID)
 		}
 	}
-	s.drop(func(u Upstream) bool { return u.Version == r.Target })
+	s.remove(func(u Upstream) bool { return u.Version == r.Target })
 	sp.others = len(s.Upstreams)
-	sp.tried = sp.plan.Choose(ids, sp.others)
+	sp.canaries = sp.plan.Choose(ids, sp.others)
 	var ring []Upstream
-	for _, id := range slices.Concat(sp.tried, sp.tried) {
+	for _, id := range slices.Concat(sp.canaries, sp.canaries) {
 		ring = append(ring, byID[id])
 	}
-	n := sp.plan.AtOnce(len(sp.tried), sp.others)
-	for i := range sp.tried {
-		sp.windows = append(sp.windows, s.lane(r.Target+"\x00"+strconv.Itoa(i), ring[i:i+n]))
+	n := sp.plan.AtOnce(len(sp.canaries), sp.others)
+	for i := range sp.canaries {
+		sp.windows = append(sp.windows, s.subset(r.Target+"\x00"+strconv.Itoa(i), ring[i:i+n]))
 	}
 	return sp
 }
 
-// move leaves the new version to the service and gives the split the others to fall back
-// on.
-func (v *View) move(w *table.World, s *Service, r *table.Rollout) *Split {
+// splitMove leaves the upstreams of the new version to the service and puts the others into
+// the split as the fallback.
+func (v *View) splitMove(w *table.World, s *Service, r *table.Rollout) *Split {
 	sp := newSplit(w, r)
-	sp.moving = r.PhaseSince
+	sp.movingSince = r.PhaseSince
 	var ids []string
 	var target, others []Upstream
 	for _, u := range s.Upstreams {
@@ -209,10 +214,10 @@
 		target, ids = append(target, u), append(ids, u.ID)
 	}
 	sp.others = len(others)
-	sp.tried = sp.plan.Choose(ids, sp.others)
+	sp.canaries = sp.plan.Choose(ids, sp.others)
 	if len(target) > 0 {
 		s.Upstreams = target
-		sp.fallback = s.lane("others", others)
+		sp.fallback = s.subset("others", others)
 	}
 	return sp
 }
--- a/internal/view/split_test.go
+++ b/internal/view/split_test.go
@@ -15,8 +15,9 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// splitWorld returns tables with so many upstreams of two versions of a service.
-func splitWorld(now time.Time, old, target int) *table.World {
+// worldWithVersions returns tables with the given numbers of upstreams of versions v1 (old)
+// and v2 (target) of one service.
+func worldWithVersions(now time.Time, old, target int) *table.World {
 	w := table.New(wire.Member{ID: "vm", Owner: "here"}, table.DefaultParams(), suspect.NewTable(time.Now), now, 1)
 	w.Config.State.Content.Services["s"] = config.Service{Name: "s"}
 	for i := range old + target {
@@ -32,15 +33,15 @@
 	return w
 }
 
-// ordered puts a roll-out of v2 into the tables.
-func ordered(w *table.World, now time.Time, phase rollout.Phase) *table.Rollout {
+// addRollout adds a rollout of v2 in the given phase to the tables.
+func addRollout(w *table.World, now time.Time, phase rollout.Phase) *table.Rollout {
 	order := rollout.Order{ID: 1, Service: "s", Target: "v2", Duration: 10 * time.Second}
 	r := &table.Rollout{Record: order.Begin(rollout.Record{}, now).To(phase, ""), Since: now, PhaseSince: now, Evidence: rollout.NewEvidence()}
 	w.Rollouts["s"] = r
 	return r
 }
 
-func versions(list []Upstream) map[string]int {
+func countVersions(list []Upstream) map[string]int {
 	n := map[string]int{}
 	for _, u := range list {
 		n[u.Version]++
@@ -48,19 +49,19 @@
 	return n
 }
 
-func TestTrialTakesItsShareOnly(t *testing.T) {
+func TestTrialGetsItsShareOfCalls(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	w := splitWorld(now, 20, 20)
-	ordered(w, now, rollout.Trying)
+	w := worldWithVersions(now, 20, 20)
+	addRollout(w, now, rollout.Trying)
 	s := Build(w, nil).Services["s"]
-	is.Equal(versions(s.Upstreams), map[string]int{"v1": 20})
+	is.Equal(countVersions(s.Upstreams), map[string]int{"v1": 20})
 	const calls = 10_000
 	tried, seen := 0, map[string]bool{}
 	for range calls {
 		if trial := s.Split.Trial(now); trial != nil {
 			tried++
-			is.Equal(versions(trial.Upstreams)["v1"], 0)
+			is.Equal(countVersions(trial.Upstreams)["v1"], 0)
 			for _, u := range trial.Upstreams {
 				seen[u.ID] = true
 			}
@@ -72,7 +73,7 @@
 	is.True(len(seen) <= rollout.Canaries)
 }
 
-func TestPhasesDecideWhoIsCalled(t *testing.T) {
+func TestPhaseSelectsVersions(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
@@ -86,32 +87,33 @@
 		{rollout.Completed, "", map[string]int{"v2": 2}},
 		{rollout.Reverted, "", map[string]int{"v1": 3}},
 	} {
-		w := splitWorld(now, 3, 2)
-		ordered(w, now, c.phase).Stop = c.stop
-		is.Equal(versions(Build(w, nil).Services["s"].Upstreams), c.want)
+		w := worldWithVersions(now, 3, 2)
+		addRollout(w, now, c.phase).Stop = c.stop
+		is.Equal(countVersions(Build(w, nil).Services["s"].Upstreams), c.want)
 	}
-	w := splitWorld(now, 3, 2)
-	ordered(w, now, rollout.Completed).Settled = true
-	is.Equal(versions(Build(w, nil).Services["s"].Upstreams), map[string]int{"v1": 3, "v2": 2})
+	w := worldWithVersions(now, 3, 2)
+	addRollout(w, now, rollout.Completed).Settled = true
+	is.Equal(countVersions(Build(w, nil).Services["s"].Upstreams), map[string]int{"v1": 3, "v2": 2})
 }
 
-func TestCallsFallBackWhileTheyMoveAndNotForLong(t *testing.T) {
+func TestFallbackEndsWhileCallsMove(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	w := splitWorld(now, 3, 2)
-	ordered(w, now, rollout.Moving)
+	w := worldWithVersions(now, 3, 2)
+	addRollout(w, now, rollout.Moving)
 	split := Build(w, nil).Services["s"].Split
-	is.Equal(versions(split.Fallback(now).Upstreams), map[string]int{"v1": 3})
+	is.Equal(countVersions(split.Fallback(now).Upstreams), map[string]int{"v1": 3})
 	is.True(split.Fallback(now.Add(w.Plan(10*time.Second).CompleteAfter())) == nil)
 }
 
-// TestVersionWithoutOthersServesAll covers an order for what everybody runs, and one whose
-// old upstreams have ended.
-func TestVersionWithoutOthersServesAll(t *testing.T) {
+// TestOnlyVersionServesAllCalls covers a rollout of a version that is the only one: all
+// upstreams run it already, or those of the old version have stopped. Without another
+// version to take the rest, no call may be kept from the new one.
+func TestOnlyVersionServesAllCalls(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	w := splitWorld(now, 0, 4)
-	ordered(w, now, rollout.Trying)
+	w := worldWithVersions(now, 0, 4)
+	addRollout(w, now, rollout.Trying)
 	s := Build(w, nil).Services["s"]
 	is.True(s.Split == nil)
 	is.Equal(len(s.Upstreams), 4)
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,5 +1,5 @@
-// Package view is what the call path reads: the configuration in force joined
-// with the upstreams known, immutable and swapped in one step.
+// Package view holds the state that the call path reads: the configuration in force joined
+// with the known upstreams. A view is immutable and is replaced atomically.
 package view
 
 import (
@@ -14,69 +14,67 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// Upstream is one upstream that takes new work.
+// Upstream is an upstream that accepts new calls.
 type Upstream struct {
 	ID      string
 	Service string
 	Version string
 	Slots   int
 	Since   time.Time
-	// Daemon owns the upstream, at address Owner.
+	// Daemon is the ID of the daemon that owns the upstream, Owner that daemon's address.
 	Daemon      string
 	Incarnation uint64
 	Domain      string
 	Owner       string
-	// Local is set if this daemon is the owner.
+	// Local is set if this daemon owns the upstream.
 	Local bool
 }
 
-// Service is a service with the upstreams known here. The list may be empty:
-// a call is then refused as not run.
+// Service is a service with the upstreams known to this daemon. The list may be empty: a
+// call is then refused as not run.
 type Service struct {
 	config.Service
 	Upstreams []Upstream
-	// Split divides the calls while a version is rolled out, or is nil.
+	// Split divides the calls between versions during a rollout or a probation, else nil.
 	Split *Split
 }
 
-// Keeper is the daemon that keeps the limits in a failure domain.
+// Keeper is the limit coordinator of a failure domain: the daemon that counts the domain's
+// calls against the rate limits of workspaces.
 type Keeper struct {
 	Daemon string
 	// Owner is its address.
 	Owner string
-	// Local is set if it is this daemon.
+	// Local is set if this daemon is the coordinator.
 	Local bool
 }
 
-// View is one consistent picture: a route of it can never lead to a service
-// that is not in it.
+// View is a consistent snapshot: each service that one of its routes names is part of it.
 type View struct {
 	// Version is the configuration version in force.
 	Version uint64
-	// Since is when this daemon took that version in.
+	// Since is when this daemon received that version.
 	Since time.Time
-	// Ready says whether calls may be taken in at all.
+	// Ready is set if the daemon may accept calls.
 	Ready bool
-	// Leaving says that this daemon stops: its upstreams take no new work.
+	// Leaving is set if this daemon is stopping: its upstreams accept no new calls.
 	Leaving  bool
 	Services map[string]*Service
-	// Routes are shared with the views before and after, as long as the
-	// configuration stays the same.
+	// Routes are shared between consecutive views of the same configuration.
 	Routes *Routes
 	Limits config.Limits
-	// Keepers are the daemons that count calls against the limits of workspaces, by
-	// failure domain.
+	// Keepers are the limit coordinators, by failure domain.
 	Keepers map[string]Keeper
-	// Domains is how many failure domains there are at least.
+	// Domains is the least number of failure domains of the deployment.
 	Domains int
-	// Daemons is how many there are, those included that have lapsed.
+	// Daemons is the number of known daemons, including those whose records have lapsed.
 	Daemons int
-	// Locals are all upstreams on this VM, draining ones included.
+	// Locals are all upstreams on this VM, including draining ones.
 	Locals []table.Local
 }
 
-// Build returns the view of these tables. What it shares with the one before,
-// which may be nil, is taken from there.
+// Build returns a view of the tables. Unchanged parts are shared with the view before, which
+// may be nil.
 func Build(w *table.World, before *View) *View {
 	state := w.Config.State
 	v := &View{
@@ -95,7 +93,7 @@
 	if before != nil {
 		routes = before.Routes
 	}
-	v.Routes = routes.follow(state)
+	v.Routes = routes.forState(state)
 	v.Daemons, v.Domains = len(w.Members)+1, w.Params.Domains
 	for domain, m := range w.Keepers {
 		v.Keepers[domain] = Keeper{Daemon: m.ID, Owner: m.Owner, Local: m.ID == w.Self.ID}
@@ -111,7 +109,7 @@
 	return v
 }
 
-// addMember adds the upstreams of a daemon that calls can be sent to.
+// addMember adds the upstreams of a daemon that accept calls.
 func (v *View) addMember(m wire.Member, local bool) {
 	if m.Leaving || m.Owner == "" {
 		return
@@ -128,16 +126,16 @@
 	}
 }
 
-// Consistent reports the first thing that leads nowhere. A view must be
+// Consistent returns an error for the first dangling reference in the view. A view must be
 // consistent before it is put in force.
 func (v *View) Consistent() error {
-	if v.Routes != nil && v.Routes.broken != nil {
-		return errors.Wrapf(v.Routes.broken, "view %d", v.Version)
+	if v.Routes != nil && v.Routes.invalid != nil {
+		return errors.Wrapf(v.Routes.invalid, "view %d", v.Version)
 	}
 	for _, s := range v.Services {
 		for _, u := range s.Upstreams {
 			if u.Service != s.Name || u.Owner == "" {
-				return errors.Errorf("view %d: service %s has upstream %s without a place", v.Version, s.Name, u.ID)
+				return errors.Errorf("view %d: service %s has upstream %s of another service or without an owner address", v.Version, s.Name, u.ID)
 			}
 		}
 	}
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -12,9 +12,9 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// TestMemberWithoutAnAddressHoldsNoViewBack guards against daemons that stay with an old
-// configuration since one record of another daemon cannot be used.
-func TestMemberWithoutAnAddressHoldsNoViewBack(t *testing.T) {
+// TestMemberWithoutAddressDoesNotBlockView guards against daemons that keep an old
+// configuration in force because one record of another daemon is unusable.
+func TestMemberWithoutAddressDoesNotBlockView(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	w := table.New(wire.Member{ID: "vm", Owner: "here"}, table.DefaultParams(), suspect.NewTable(time.Now), now, 1)
