--- a/internal/table/link.go
+++ b/internal/table/link.go
@@ -7,52 +7,58 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// LinkID names a control connection within this process. It is never used
-// again; zero is no connection.
+// LinkID identifies a control connection within this process. IDs are never reused; zero
+// means no connection.
 type LinkID uint64
 
-// Link is a control connection.
+// Link is a control connection to another daemon.
 type Link struct {
 	ID LinkID
-	// Peer is the member at the other end, "" until its hello arrived.
+	// Peer is the ID of the member at the other end, "" until its hello has arrived.
 	Peer   string
 	Domain string
-	// Dialed is set on connections that this daemon opened.
+	// Dialed is set if this daemon opened the connection.
 	Dialed bool
-	// Met is set once the other end's hello has told our floor.
+	// Met is set once a dialed peer's hello has arrived, which includes the highest
+	// version that the peer saw this daemon apply (see Config.Floor).
 	Met bool
-	// Probe marks a short connection of the safety net.
+	// Probe marks a short-lived connection that only compares states, so that a
+	// partitioned tree still converges.
 	Probe bool
-	// Addr is the address dialed.
+	// Addr is the address that was dialed.
 	Addr   string
 	Opened time.Time
-	// HeardAt is when something last arrived; EchoAt when the other end last
-	// confirmed a ping of ours.
+	// HeardAt is when a message last arrived; EchoAt is when the other end last
+	// confirmed a ping from here.
 	HeardAt time.Time
 	EchoAt  time.Time
 
-	PingSeq  uint64
-	PingAt   time.Time
-	SeenSeq  uint64
-	Echoed   uint64
+	// PingSeq and PingAt are the number and time of the last ping sent. SeenSeq is the
+	// highest number received, Echoed the highest one that the other end confirmed.
+	PingSeq uint64
+	PingAt  time.Time
+	SeenSeq uint64
+	Echoed  uint64
+	// Base, Position and Hash identify the configuration that the other end holds;
+	// Members is the digest of the members that it knows.
 	Base     uint64
 	Position uint64
 	Hash     string
 	Members  uint64
-	// TakesSuspects is set if the other end takes what is known of suspects.
+	// TakesSuspects is set if the other end accepts records of suspects.
 	TakesSuspects bool
-	// TakesRollouts is the same of roll-outs.
+	// TakesRollouts is set if the other end accepts the states of rollouts.
 	TakesRollouts bool
-	// TakesVouches is the same of the freshness of configurations.
+	// TakesVouches is set if the other end accepts confirmations of freshness.
 	TakesVouches bool
-	// Pings holds when the last pings were sent.
+	// Pings holds the send times of the last pings.
 	Pings freshness.Echoes
-	// Vouch is the other end's last word on its configuration, Vouched the stamp that it
-	// was last told.
+	// Vouch is the other end's last confirmation of the freshness of its configuration;
+	// Vouched is the timestamp in the last confirmation sent to it.
 	Vouch   Vouch
 	Vouched freshness.Stamp
-	// Tallies are what the other end and those behind it have seen of roll-outs, by
-	// service.
+	// Tallies are the counts of calls during rollouts that the other end has gathered
+	// from its own calls and from the daemons beyond it, by service.
 	Tallies map[string]wire.Tally
 	// Sent is the position up to which records were pushed.
 	Sent uint64
@@ -62,10 +68,10 @@
 	MembersPulled time.Time
 }
 
-// Up reports whether the other end has said who it is.
+// Up reports whether the other end's hello has arrived.
 func (l *Link) Up() bool { return l.Peer != "" }
 
-// LinkTo returns a connection to the member, or nil.
+// LinkTo returns a connection to the member other than a probe, or nil.
 func (w *World) LinkTo(id string) *Link {
 	for _, l := range w.Links {
 		if l.Peer == id && !l.Probe {
@@ -75,55 +81,55 @@
 	return nil
 }
 
-// Backoff is this daemon's own opinion that it cannot reach an address. It
-// is never passed on.
+// Backoff delays attempts to dial an address that this daemon could not reach. It is local
+// and never sent to other daemons.
 type Backoff struct {
 	Failures int
 	Until    time.Time
-	// Dialing is set while an attempt runs.
+	// Dialing is set during an attempt.
 	Dialing bool
 }
 
-// Backoff bounds.
+// The range of the backoff before jitter.
 const (
-	backoffFirst = 200 * time.Millisecond
-	backoffLast  = 15 * time.Second
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 15 * time.Second
 )
 
-// Fail takes note of a failed attempt to reach the address.
+// Fail records a failed attempt to dial the address and doubles its backoff.
 func (w *World) Fail(addr string, now time.Time) {
 	b := w.backoff(addr)
 	b.Dialing = false
-	wait := backoffFirst << min(b.Failures, 10)
-	wait = min(wait, backoffLast)
+	wait := minBackoff << min(b.Failures, 10)
+	wait = min(wait, maxBackoff)
 	b.Failures++
 	jitter := time.Duration(w.Rand.Int64N(int64(wait)))
 	b.Until = now.Add(wait/2 + jitter)
 }
 
-// Postpone takes note that the address asked to be left alone for a while.
+// Postpone records that the daemon at the address asked not to be dialed before until.
 func (w *World) Postpone(addr string, until time.Time) {
 	b := w.backoff(addr)
 	b.Dialing = false
 	b.Until = until
 }
 
-// Reach takes note that the address was reached.
+// Reach records that the address was reached, which ends its backoff.
 func (w *World) Reach(addr string) { delete(w.Backoffs, addr) }
 
-// Reachable reports whether the address may be tried now.
+// Reachable reports whether the address may be dialed now.
 func (w *World) Reachable(addr string, now time.Time) bool {
 	b := w.Backoffs[addr]
 	return b == nil || (!b.Dialing && !now.Before(b.Until))
 }
 
-// Dialing reports whether an attempt to reach the address runs.
+// Dialing reports whether an attempt to dial the address is in progress.
 func (w *World) Dialing(addr string) bool {
 	b := w.Backoffs[addr]
 	return b != nil && b.Dialing
 }
 
-// SetDialing takes note that an attempt to reach the address begins or ends.
+// SetDialing records that an attempt to dial the address begins or ends.
 func (w *World) SetDialing(addr string, dialing bool) { w.backoff(addr).Dialing = dialing }
 
 func (w *World) backoff(addr string) *Backoff {
@@ -138,24 +144,25 @@
 // Local is an upstream on this daemon's VM.
 type Local struct {
 	wire.Upstream
-	// Process names the upstream's process to itself, or is empty.
+	// Process is the upstream's own identifier of its process, or empty.
 	Process string
-	// Name is what the upstream calls itself, on this VM. The ID names one life
-	// of it, so that nothing known of an earlier one is taken for this one's.
+	// Name is the upstream's name on this VM. The ID identifies one incarnation of it, so
+	// that nothing recorded of an earlier incarnation is applied to this one.
 	Name string
-	// Life tells this process of the upstream from an earlier one.
+	// Life identifies this incarnation of the upstream.
 	Life string
-	// Born is when this life began, in Unix milliseconds of the upstream's own
-	// clock: of two lives of one name the later one counts. Zero: not told.
+	// Born is when this incarnation began, in Unix milliseconds by the upstream's own
+	// clock. Of two incarnations with the same name the later one is current. Zero if
+	// unknown.
 	Born int64
-	// Addr is where the upstream takes calls.
+	// Addr is the address at which the upstream accepts calls.
 	Addr string
-	// Conns bounds the connections to it.
+	// Conns is the maximum number of connections to the upstream.
 	Conns int
-	// Sequence is that of the last announcement; zero: not counted.
+	// Sequence is the number of the last announcement; zero if they are not numbered.
 	Sequence uint64
-	// Ramped is set once the upstream has grown to all of its slots.
+	// Ramped is set once the upstream has ramped up to all of its slots.
 	Ramped bool
-	// Until is when the upstream is gone unless it announces itself again.
+	// Until is when the upstream is removed unless it announces itself again.
 	Until time.Time
 }
--- a/internal/table/member.go
+++ b/internal/table/member.go
@@ -11,61 +11,63 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// Member is what this daemon knows of another.
+// Member is this daemon's record of another daemon.
 type Member struct {
 	wire.Member
-	// Heard is when the last renewal reached this daemon.
+	// Heard is when the member's last renewal arrived here.
 	Heard time.Time
-	// Lapsed members take no part in anything. The row stays, so that an old
-	// copy of the record cannot bring the member back.
+	// Lapsed is set if the member did not renew its record in time. It is then ignored,
+	// but the row is kept, so that an old copy of the record cannot restore the member.
 	Lapsed bool
-	// Floor is the highest version the member ever reported, over all of its
-	// incarnations.
+	// Floor is the highest version that the member has reported as applied, over all of
+	// its incarnations.
 	Floor uint64
 }
 
-// buckets is how many digests a full comparison of members exchanges.
-const buckets = 32
+// bucketCount is the number of buckets into which members are hashed; a full comparison
+// exchanges one digest per bucket.
+const bucketCount = 32
 
-// derived is what follows from the members and costs too much to work out at
-// every tick. MembersChanged drops it.
+// derived caches values computed from the members that are too expensive to compute every
+// tick. MembersChanged invalidates most of them.
 type derived struct {
-	// ordersOld is set if members have changed since orders were worked out, at ordersAt.
-	ordersOld bool
-	ordersAt  time.Time
-	digest    uint64
-	buckets   []uint64
-	orders    map[string][]wire.Member
-	domains   []string
-	holders   map[string]holder
-	byDigest  map[uint64]string
-}
-
-// holder is the daemon that started last at an address.
+	// ordersStale is set if members have changed since orders were last dropped, at
+	// ordersRenewedAt.
+	ordersStale     bool
+	ordersRenewedAt time.Time
+	digest          uint64
+	buckets         []uint64
+	orders          map[string][]wire.Member
+	domains         []string
+	holders         map[string]holder
+	byDigest        map[uint64]string
+}
+
+// holder is the daemon that started last at an owner address.
 type holder struct {
 	id          string
 	incarnation uint64
 }
 
-// MembersChanged must be called after every change to which members are live
-// or to their content; renewals do not count. Without it the tree and the
-// digests would follow from members of the past.
+// MembersChanged must be called after every change to the set of live members or to their
+// records, but not after mere renewals. Otherwise the tree and the digests would be computed
+// from outdated members.
 func (w *World) MembersChanged() {
-	w.derived = derived{holders: w.derived.holders, orders: w.derived.orders, ordersOld: true, ordersAt: w.derived.ordersAt}
+	w.derived = derived{holders: w.derived.holders, orders: w.derived.orders, ordersStale: true, ordersRenewedAt: w.derived.ordersRenewedAt}
 	w.ViewSoon = true
 }
 
-// RenewOrders drops what Order remembers if members have changed since, once the last
-// renewal is so long past: while many start, each record changes it.
+// RenewOrders drops the orders cached by Order if members have changed since, at most once
+// per interval: while many daemons start, each record that arrives changes the order.
 func (w *World) RenewOrders(now time.Time, every time.Duration) {
-	if !w.derived.ordersOld || now.Before(w.derived.ordersAt.Add(every)) {
+	if !w.derived.ordersStale || now.Before(w.derived.ordersRenewedAt.Add(every)) {
 		return
 	}
-	w.derived.orders, w.derived.ordersOld, w.derived.ordersAt = nil, false, now
+	w.derived.orders, w.derived.ordersStale, w.derived.ordersRenewedAt = nil, false, now
 	w.Keepers = nil
 }
 
-// EachLive calls f for this daemon and every other that has not lapsed.
+// EachLive calls f for this daemon and for each member that has not lapsed.
 func (w *World) EachLive(f func(wire.Member)) {
 	f(w.Self)
 	for _, row := range w.Members {
@@ -75,16 +77,15 @@
 	}
 }
 
-// Forget removes a member for good.
+// Forget removes a member's row.
 func (w *World) Forget(id string) {
 	delete(w.Members, id)
-	w.derived.holders = nil // it may have held an address
+	w.derived.holders = nil // the member may have held an address
 	w.MembersChanged()
 }
 
-// MemberDigests returns a digest for each bucket of live members, this daemon
-// included, and one over all. Renewals do not change a digest. The slice must
-// not be changed.
+// MemberDigests returns a digest for each bucket of live members, including this daemon,
+// and one over all buckets. Renewals do not change a digest. The slice must not be changed.
 func (w *World) MemberDigests() (all uint64, each []uint64) {
 	if w.derived.buckets == nil {
 		w.derived.digest, w.derived.buckets = w.memberDigests()
@@ -92,19 +93,19 @@
 	return w.derived.digest, w.derived.buckets
 }
 
-// MembersByDigest returns the IDs of live members, this daemon included, by what their
-// records are named with in messages. It must not be changed.
+// MembersByDigest returns the IDs of live members, including this daemon, by the digests
+// that identify their records in messages. The map must not be changed.
 func (w *World) MembersByDigest() map[uint64]string {
 	if w.derived.byDigest == nil {
-		by := make(map[uint64]string, len(w.Members)+1)
-		w.EachLive(func(m wire.Member) { by[memberDigest(m)] = m.ID })
-		w.derived.byDigest = by
+		ids := make(map[uint64]string, len(w.Members)+1)
+		w.EachLive(func(m wire.Member) { ids[memberDigest(m)] = m.ID })
+		w.derived.byDigest = ids
 	}
 	return w.derived.byDigest
 }
 
 func (w *World) memberDigests() (all uint64, each []uint64) {
-	each = make([]uint64, buckets)
+	each = make([]uint64, bucketCount)
 	each[Bucket(w.Self.ID)] ^= memberDigest(w.Self)
 	for _, m := range w.Members {
 		if !m.Lapsed {
@@ -118,8 +119,7 @@
 	return xxhash.Sum64(b), each
 }
 
-// Domains returns all failure domains known, sorted. The slice must not be
-// changed.
+// Domains returns all known failure domains, sorted. The slice must not be changed.
 func (w *World) Domains() []string {
 	if w.derived.domains == nil {
 		seen := map[string]bool{w.Self.Domain: true}
@@ -131,8 +131,8 @@
 	return w.derived.domains
 }
 
-// Order returns a failure domain's members as compute orders them, and
-// remembers the answer while the members do not change.
+// Order returns a failure domain's members in the order that compute returns, and caches it
+// until RenewOrders drops it.
 func (w *World) Order(domain string, compute func() []wire.Member) []wire.Member {
 	if list, ok := w.derived.orders[domain]; ok {
 		return list
@@ -145,9 +145,9 @@
 	return list
 }
 
-// holders returns the daemon that started last at each owner address. It is kept while
-// members come and change: made anew for each record, a start among n members cost n
-// times n steps.
+// holders returns the daemon that started last at each owner address. The map is kept up to
+// date as members are added and change: if it were rebuilt for each record, a start among n
+// members would cost n² steps.
 func (w *World) holders() map[string]holder {
 	if w.derived.holders == nil {
 		w.derived.holders = map[string]holder{w.Self.Owner: {id: w.Self.ID, incarnation: w.Self.Incarnation}}
@@ -158,30 +158,30 @@
 	return w.derived.holders
 }
 
-// Hold takes note of the address that a member has started at. It returns the member
-// that held it before and lost it, or "".
+// Hold records the owner address at which a member has started. It returns the ID of the
+// member that held the address before and lost it, or "".
 func (w *World) Hold(m wire.Member) (lost string) {
-	held := w.holders()
-	h, taken := held[m.Owner]
-	if taken && h.id != m.ID && h.incarnation >= m.Incarnation {
+	holders := w.holders()
+	current, taken := holders[m.Owner]
+	if taken && current.id != m.ID && current.incarnation >= m.Incarnation {
 		return ""
 	}
-	held[m.Owner] = holder{id: m.ID, incarnation: m.Incarnation}
-	if !taken || h.id == m.ID {
+	holders[m.Owner] = holder{id: m.ID, incarnation: m.Incarnation}
+	if !taken || current.id == m.ID {
 		return ""
 	}
-	return h.id
+	return current.id
 }
 
-// Displaced reports whether another daemon has started later at the member's
-// address: the member is gone, whatever is still passed on about it.
+// Displaced reports whether another daemon has started later at the member's owner address.
+// The member is gone then, even if copies of its record still arrive.
 func (w *World) Displaced(m wire.Member) bool {
-	h := w.holders()[m.Owner]
-	return h.id != m.ID && h.incarnation > m.Incarnation
+	current := w.holders()[m.Owner]
+	return current.id != m.ID && current.incarnation > m.Incarnation
 }
 
-// Bucket returns the bucket that a member's digest is counted in.
-func Bucket(id string) int { return int(xxhash.Sum64String(id) % buckets) }
+// Bucket returns the index of the bucket that a member belongs to.
+func Bucket(id string) int { return int(xxhash.Sum64String(id) % bucketCount) }
 
 func memberDigest(m wire.Member) uint64 {
 	b := []byte(m.ID)
--- a/internal/table/rollout.go
+++ b/internal/table/rollout.go
@@ -7,39 +7,40 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// Rollout is what this daemon knows of a service's roll-out.
+// Rollout is this daemon's state of a service's rollout.
 type Rollout struct {
 	rollout.Record
-	// Since is when the order was given, PhaseSince when the phase began, by this
-	// daemon's clock.
+	// Since is when the order was given and PhaseSince when the current phase began, by
+	// this daemon's clock.
 	Since      time.Time
 	PhaseSince time.Time
-	// Stop says why the new version gets no calls any more, before that is agreed.
+	// Stop is the reason why the new version gets no more calls here, before the store
+	// has recorded that the rollout is reverted; else "".
 	Stop string
-	// Held says that the store holds the record, Told that operators can read its phase
-	// there.
+	// Held is set if the store holds the record, Told if the store also holds the phase
+	// where operators can read it.
 	Held bool
 	Told bool
-	// Evidence is what this daemon sees. It is shared with the call path.
+	// Evidence counts the calls that this daemon sees. It is shared with the call path.
 	Evidence *rollout.Evidence
-	// Domains holds what was seen in each failure domain. Only roots know.
+	// Domains holds the counts of each failure domain. Only roots have them.
 	Domains map[string]wire.Tally
-	// Settled is set some time after the roll-out was completed: other versions are then
-	// like this one again.
+	// Settled is set some time after the rollout was completed: from then on upstreams of
+	// other versions get calls again like those of this one.
 	Settled bool
-	// Due is when it is this daemon's turn to write to the store, or zero: nothing is
-	// to be written.
+	// Due is when it is this daemon's turn to write to the store, or zero if there is
+	// nothing to write.
 	Due time.Time
-	// From is the connection on which news of it came that were not passed on yet, News
-	// that there are any.
+	// News is set if a change has not been sent to other daemons yet; From is the
+	// connection on which the change arrived, zero if it was made here.
 	From LinkID
 	News bool
 }
 
-// Live reports whether the roll-out goes on.
+// Live reports whether the rollout is still in progress.
 func (r *Rollout) Live() bool { return !r.Phase.Final() }
 
-// Tally returns what all failure domains have seen.
+// Tally returns the sum of the counts of all failure domains.
 func (r *Rollout) Tally() rollout.Tally {
 	sum := rollout.Tally{}
 	for _, t := range r.Domains {
@@ -48,13 +49,13 @@
 	return sum
 }
 
-// Plan returns the plan of a roll-out of that duration.
+// Plan returns the plan of a rollout with the given duration.
 func (w *World) Plan(d time.Duration) rollout.Plan {
 	return rollout.Plan{Duration: d, Exposure: w.Params.Exposure, Settle: w.Params.InForce}
 }
 
-// UpstreamsOf returns the IDs of a service's upstreams that take calls: those of the
-// version and how many there are of others.
+// UpstreamsOf returns the IDs of a service's upstreams of the version that accept calls, and
+// the number of those of other versions.
 func (w *World) UpstreamsOf(service, version string) (ids []string, others int) {
 	w.EachLive(func(m wire.Member) {
 		for _, u := range m.Upstreams {
--- a/internal/table/world.go
+++ b/internal/table/world.go
@@ -1,6 +1,6 @@
-// Package table holds the control state of a daemon: tables of entities that
-// the systems of package system run over each tick. Nothing here does I/O or
-// reads a clock, and only one goroutine touches a World.
+// Package table holds the control state of a daemon as entity tables, which the systems of
+// package system process each tick. Nothing here does I/O or reads a clock, and only one
+// goroutine accesses a World.
 package table
 
 import (
@@ -16,51 +16,55 @@
 
 // Params are the settings of the control systems.
 type Params struct {
-	// Window is how long changes are gathered before they are passed on.
-	// Short: fast convergence. Long: fewer bytes.
+	// Window is how long changes are batched before they are sent. A short window
+	// converges faster, a long one sends fewer bytes.
 	Window time.Duration
-	// Fanout is how many children a relay has in the tree.
+	// Fanout is the number of children of a relay in the distribution tree.
 	Fanout int
-	// Roots is how many daemons of a failure domain read the log.
+	// Roots is the number of daemons per failure domain that read the log.
 	Roots int
 	// Heartbeat is the interval of pings on a connection.
 	Heartbeat time.Duration
-	// SilentAfter is how long a connection may be silent in one direction.
+	// SilentAfter is how long a connection may be silent in one direction before it is
+	// closed.
 	SilentAfter time.Duration
 	// Renew is the interval at which a member renews its record.
 	Renew time.Duration
-	// Lapse is how long a member lives without a renewal.
+	// Lapse is how long a member's record is valid without a renewal.
 	Lapse time.Duration
-	// UpstreamLapse is how long an upstream lives without an announcement.
+	// UpstreamLapse is how long an upstream is kept without an announcement.
 	UpstreamLapse time.Duration
 	// Grace is how long a starting daemon waits for its first peer.
 	Grace time.Duration
-	// MaxLinks bounds the connections accepted.
+	// MaxLinks is the number of connections, opened or accepted, from which on further
+	// ones are refused.
 	MaxLinks int
-	// SnapshotsPerSecond bounds the snapshots sent.
+	// SnapshotsPerSecond bounds the rate of snapshots sent.
 	SnapshotsPerSecond int
-	// Probe is the interval of comparisons with a random member.
+	// Probe is the mean interval at which states are compared with a random member.
 	Probe time.Duration
-	// Checkpoint is the interval of checkpoints on the log. It must be well
-	// inside the log's retention.
+	// Checkpoint is the interval of checkpoints on the log. It must be well below the
+	// log's retention.
 	Checkpoint time.Duration
-	// InForce is within which an accepted configuration is to be in force everywhere.
+	// InForce is the time within which an accepted configuration must be in force on all
+	// daemons.
 	InForce time.Duration
-	// Revoke is within which a key that was taken away lets no call in any more, also at
-	// daemons out of touch. Zero: there is no such bound.
+	// Revoke is the time within which a revoked key must stop admitting calls, also at
+	// daemons that are partitioned. Zero means no such bound.
 	Revoke time.Duration
-	// Documents says that the configuration comes as whole documents, not as
-	// commands on the log.
+	// Documents is set if the configuration is read as whole documents, not as commands
+	// on the log.
 	Documents bool
-	// Exposure is the part of a service's calls that a bad version may get.
+	// Exposure is the fraction of a service's calls that a bad version may get.
 	Exposure float64
-	// Domains is how many failure domains there are at least.
+	// Domains is the least number of failure domains of the deployment.
 	Domains int
-	// Seeds are addresses of daemons to find the others through.
+	// Seeds are the addresses of daemons through which the others are found.
 	Seeds []string
 }
 
-// DefaultParams returns the settings for the size to design for.
+// DefaultParams returns the settings for the largest deployment that the system is designed
+// for.
 func DefaultParams() Params {
 	return Params{
 		Window:             100 * time.Millisecond,
@@ -81,213 +85,231 @@
 	}
 }
 
-// World is all tables of one daemon.
+// World holds all tables of one daemon.
 type World struct {
 	Params  Params
 	Rand    *rand.Rand
 	Started time.Time
-	// Boot is the VM's boot time as of this tick.
+	// Boot is the time since the VM's boot, as of this tick.
 	Boot time.Duration
-	// Fresh is how fresh the configuration held is.
+	// Fresh is the freshness of the configuration held.
 	Fresh Freshness
 
-	// Self is this daemon's own record; Self.Beat.Applied is the version in
-	// force here.
+	// Self is this daemon's own record; Self.Beat.Applied is the version in force here.
 	Self wire.Member
-	// SelfDirty is set when Self changed and was not passed on yet.
+	// SelfDirty is set if Self has changed and has not been sent yet.
 	SelfDirty bool
 	NextRenew time.Time
 
-	// Members are the other daemons; MembersChanged must follow a change.
+	// Members are the other daemons; MembersChanged must be called after a change.
 	Members   map[string]*Member
 	derived   derived
 	NextLapse time.Time
-	// MembersAt is when another member was last seen to change.
+	// MembersAt is when another member's record last changed, renewals excepted.
 	MembersAt   time.Time
 	MembersTree Tree
-	// Keepers are the first members of each failure domain, which count calls against the
-	// limits of workspaces.
-	Keepers  map[string]wire.Member
-	Links    map[LinkID]*Link
+	// Keepers are the limit coordinators, by failure domain: the domain's first member,
+	// which counts calls against the rate limits of workspaces.
+	Keepers map[string]wire.Member
+	Links   map[LinkID]*Link
+	// Backoffs holds the backoff of each unreachable address.
 	Backoffs map[string]*Backoff
-	Locals   map[string]*Local
-	// Departed holds the upstreams on this VM that have ended or were replaced
-	// at their address, by name.
+	// Locals are the upstreams on this VM, by ID.
+	Locals map[string]*Local
+	// Departed holds the upstreams on this VM that have stopped or were replaced at their
+	// address, by name.
 	Departed map[string]Departure
 	Config   Config
 	Log      Log
 	Outgoing Outgoing
 	Alarms   map[string]string
-	// Suspects is shared with the call path, which adds what it sees.
+	// Suspects is shared with the call path, which records crashes and answers in it.
 	Suspects   *suspect.Table
 	Quarantine Quarantine
-	// Rollouts are the last one of each service.
+	// Rollouts holds the last rollout of each service.
 	Rollouts map[string]*Rollout
-	// Orders are those that were read and are not followed yet, by service.
+	// Orders holds the orders that were read but whose rollouts have not begun yet, by
+	// service.
 	Orders map[string]rollout.Order
-	// RolloutsRead is set once the store's records of roll-outs were read.
+	// RolloutsRead is set once the store's records of rollouts have been read.
 	RolloutsRead bool
-	// NextTally is when what was seen of roll-outs is next passed on.
+	// NextTally is when the counts of calls during rollouts are next sent.
 	NextTally time.Time
 	// Versions holds when each version of a service was first seen here, by service.
 	Versions map[string]map[string]time.Time
-	// Probation holds the version of a service that has just appeared beside others;
-	// VersionsDue is when the next one may be over.
+	// Probation holds the version that has just appeared beside others, by service;
+	// VersionsDue is when a probation may next end.
 	Probation   map[string]string
 	VersionsDue time.Time
 
 	NextProbe time.Time
 	NextSeed  time.Time
-	// SeedsFound is set once the log gave addresses.
+	// SeedsFound is set once the log has returned addresses.
 	SeedsFound bool
-	// NextFind is when the log is asked for addresses again, FindEvery the
-	// interval, which grows.
+	// NextFind is when the log is next asked for addresses, FindEvery the interval, which
+	// doubles up to a bound.
 	NextFind  time.Time
 	FindEvery time.Duration
 	Seeds     []string
-	// Ready is set once the daemon may serve calls: it has met its peers or
-	// found none, and holds no less than it served in an earlier life.
+	// Ready is set once the daemon may serve calls: it has connected to peers or found
+	// none, and the configuration held is no older than the one that it had in force in
+	// an earlier incarnation.
 	Ready bool
-	// ViewDirty asks for a new view of the call path.
+	// ViewDirty requests a new view for the call path at this tick.
 	ViewDirty bool
-	// ViewSoon asks for one from ViewAfter on: what changes at other daemons is gathered.
+	// ViewSoon requests a new view from ViewAfter on, so that changes at other daemons
+	// are batched.
 	ViewSoon  bool
 	ViewAfter time.Time
 }
 
-// Freshness is what this daemon knows of the age of its configuration.
+// Freshness is the freshness of the configuration held: when it was last known to be the
+// newest.
 type Freshness struct {
 	Stamp freshness.Stamp
-	// From is the connection that the stamp came by; zero: the store told it.
+	// From is the connection on which the timestamp arrived; zero if it comes from
+	// reading the store.
 	From LinkID
-	// Known is set while the configuration is known to be fresh enough.
+	// Known is set while the configuration is known to be within Params.Revoke.
 	Known bool
 }
 
-// Vouch is another daemon's word on the freshness of what it held.
+// Vouch is another daemon's confirmation of the freshness of the configuration that it held
+// at Base and Position.
 type Vouch struct {
 	Base     uint64
 	Position uint64
 	Stamp    freshness.Stamp
 }
 
-// Departure is the end of an upstream's life.
+// Departure records that an incarnation of an upstream has ended.
 type Departure struct {
-	// Born is when that life began; announcements of it and of earlier ones are
-	// late.
+	// Born is when that incarnation began. Announcements of it and of earlier ones are
+	// late and are ignored.
 	Born int64
-	// Until is how long they are expected.
+	// Until is until when late announcements are expected.
 	Until time.Time
 }
 
 // Tree is this daemon's place in the distribution tree.
 type Tree struct {
-	// Parent is the member that passes configuration to this daemon, or "".
+	// Parent is the ID of the member that sends the configuration to this daemon, or "".
 	Parent string
-	// Orphan is since when there is no parent, or zero.
+	// Orphan is since when this daemon has had no parent, or zero.
 	Orphan time.Time
-	// Root says that this daemon reads the log.
+	// Root is set if this daemon reads the log.
 	Root bool
-	// Rank is this daemon's place in its failure domain's order.
+	// Rank is this daemon's index in the order of its failure domain.
 	Rank int
-	// Unwanted holds since when a dialed connection serves no purpose.
+	// Unwanted holds since when each dialed connection that is not part of the tree has
+	// been unneeded.
 	Unwanted map[LinkID]time.Time
 }
 
 // Config is the configuration held.
 type Config struct {
 	State *config.State
-	// Since is when the state's version was taken in; zero: there is none yet.
+	// Since is when the state's version was received; zero if there is none yet.
 	Since time.Time
-	// History holds the last records, ending before State.Position.
+	// History holds the last records, up to State.Position.
 	History [][]byte
-	// Past holds the steps to the document held, the oldest first.
+	// Past holds the deltas that led to the current document, the oldest first.
 	Past []Step
-	// Floor is the highest version that a peer saw this daemon apply.
+	// Floor is the highest version that a peer saw this daemon apply, in any of its
+	// incarnations.
 	Floor uint64
-	// LastCheckpoint is when a checkpoint was last seen or appended.
+	// LastCheckpoint is when a checkpoint was last read from the log, initially the
+	// start of the daemon.
 	LastCheckpoint time.Time
-	// NextCheckpoint keeps a root from appending again before it could have
-	// read its checkpoint back.
+	// NextCheckpoint is the earliest time of the next checkpoint. It keeps a root from
+	// appending another one before it could have read its last one back.
 	NextCheckpoint time.Time
-	// PullUntil is when a pull that was not answered is given up.
+	// PullUntil is when an unanswered pull times out.
 	PullUntil time.Time
-	// PushDirty says that records wait to be passed on, from NextPush on.
+	// PushDirty is set if there are changes to push to neighbours, from NextPush on.
 	PushDirty bool
 	NextPush  time.Time
-	// SnapshotNext is when the next snapshot may be sent, at the earliest.
+	// SnapshotNext is the earliest time at which the next snapshot may be sent.
 	SnapshotNext time.Time
-	// Encoded caches the encoded state for snapshots of EncodedFor.
+	// Encoded caches the encoding of EncodedFor, for snapshots.
 	Encoded    []byte
 	EncodedFor *config.State
 }
 
-// Step leads from one document to the next.
+// Step is the change from one document to the next.
 type Step struct {
-	// From is the version of the earlier one.
+	// From is the version of the earlier document.
 	From  uint64
 	Delta config.Delta
 }
 
-// Log is what this daemon knows of the platform's log.
+// Log is this daemon's state of reading and writing the platform's log.
 type Log struct {
 	Up bool
-	// Regressed is set while the log ends before the position held.
+	// Regressed is set while the log ends before the position held: it was truncated or
+	// replaced.
 	Regressed bool
-	// Failed is set while the last read failed, CaughtUp once one read has
-	// reached the end.
+	// Failed is set if the last read failed, CaughtUp once a read has reached the end of
+	// the log.
 	Failed   bool
 	CaughtUp bool
-	// Scanning is set while the reader looks for a checkpoint, from Scan on.
+	// Scanning is set while the reader searches for a checkpoint; Scan is the next
+	// position to read.
 	Scanning bool
 	Scan     uint64
-	// ReadAfter is when the next read may be sent.
+	// ReadAfter is the earliest time of the next read.
 	ReadAfter time.Time
-	// RestUntil and RestEvery space the reads of a daemon without a parent.
+	// RestUntil and RestEvery are the end and the length of the pause between reads of a
+	// daemon that reads the log only because it has no parent.
 	RestUntil time.Time
 	RestEvery time.Duration
-	// Listing is how far it is settled whether the log needs this daemon's addresses.
+	// Listing is the state of deciding whether to publish this daemon's addresses on the
+	// log.
 	Listing Listing
-	// NextPublish is when this daemon's addresses are next left on the log.
+	// NextPublish is when the next step of publishing the addresses is due.
 	NextPublish time.Time
 }
 
-// Listing is how far a daemon has come in leaving its addresses on the log.
+// Listing is the state of publishing a daemon's addresses on the log.
 type Listing int
 
-// The steps.
+// The states of publishing.
 const (
-	// NotLooked: the log has not said yet whether it has them.
+	// NotLooked: it is not known yet whether the log has this daemon's addresses.
 	NotLooked Listing = iota
-	// LookAgain: it had none; a second look is due.
+	// LookAgain: the first look did not find them; a second look is scheduled.
 	LookAgain
-	// Looking: the second look is on its way.
+	// Looking: the second look is in progress.
 	Looking
-	// Listed: the log has them, or is to get them.
+	// Listed: the log has the addresses, or they are being published.
 	Listed
-	// Unlisted: it need not have them, since it has enough others'.
+	// Unlisted: they are not published, since the log has enough other daemons'.
 	Unlisted
 )
 
-// Quarantine is what this daemon knows of the quarantined requests on the store.
+// Quarantine is this daemon's state of the quarantined requests in the store.
 type Quarantine struct {
 	// Held are the store's records, as last read.
 	Held map[suspect.Digest]suspect.Record
-	// Read is set once the store was read.
+	// Read is set once the store has been read.
 	Read bool
-	// Due is when it is this daemon's turn to change a record there, by digest.
+	// Due is when it is this daemon's turn to change a record in the store, by digest.
 	Due map[suspect.Digest]time.Time
-	// NextCheck is when the store is next compared with what is known here.
+	// NextCheck is when the store's records are next compared with World.Suspects.
 	NextCheck time.Time
-	// From tells the connection on which news came that were not passed on yet.
+	// From is the connection on which a change arrived that has not been sent to other
+	// daemons yet, by digest.
 	From map[suspect.Digest]LinkID
 }
 
-// Outgoing gathers membership changes until the window ends.
+// Outgoing batches membership changes until the window ends. The values are the connections
+// on which the changes arrived.
 type Outgoing struct {
+	// Full are the members whose whole records are sent, Beats those whose heartbeats
+	// are.
 	Full  map[string]LinkID
 	Beats map[string]LinkID
-	// Due is when the window ends, or zero if nothing is gathered.
+	// Due is when the window ends, or zero if the batch is empty.
 	Due time.Time
 }
 
