--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -5,104 +5,109 @@
 	"time"
 )
 
-// Evidence counts what one daemon sees of a service's calls during a roll-out. Safe for
-// concurrent use.
+// Evidence counts the results of a service's calls that one daemon sees during a rollout. It
+// is safe for concurrent use.
 type Evidence struct {
-	mu       sync.Mutex
-	tally    Tally
-	controls map[controlKey]int
-	// usual is how long answers of other versions take, by route.
-	usual map[uint32]time.Duration
+	mu    sync.Mutex
+	tally Tally
+	// controlsDue is how many more calls to other versions are to be counted.
+	controlsDue map[controlKey]int
+	// typicalLatency is the moving average of how long other versions take to answer, by
+	// the hash of the route.
+	typicalLatency map[uint32]time.Duration
 }
 
-// controlKey is what calls to the other versions are counted for.
+// controlKey identifies the calls to the new version that calls to other versions are
+// compared with.
 type controlKey struct {
 	route uint32
 	moved bool
 }
 
-// NewEvidence returns evidence without calls.
+// NewEvidence returns an Evidence without any calls.
 func NewEvidence() *Evidence {
-	return &Evidence{tally: Tally{}, controls: map[controlKey]int{}, usual: map[uint32]time.Duration{}}
+	return &Evidence{tally: Tally{}, controlsDue: map[controlKey]int{}, typicalLatency: map[uint32]time.Duration{}}
 }
 
 const (
-	// slowTimes is from how many times the usual on an answer is slow: more than a busy
-	// upstream takes, less than one that is several times slower.
-	slowTimes = 2.5
-	// slowBy is by how much it is longer at least: an upstream that gets few calls opens
-	// a connection for many of them.
-	slowBy = 2 * time.Millisecond
-	// usualWeight is the weight of the newest answer in what is usual.
-	usualWeight = 0.05
-	// cellsMost bounds the cells kept: what is beyond is not counted.
-	cellsMost = 4096
+	// slowFactor is the multiple of the typical latency above which an answer is slow:
+	// more than a busy upstream takes, less than one that is several times slower.
+	slowFactor = 2.5
+	// slowMargin is how much longer than the typical latency a slow answer also takes:
+	// an upstream that gets few calls needs a new connection for many of them.
+	slowMargin = 2 * time.Millisecond
+	// latencyWeight is the weight of the newest answer in the average.
+	latencyWeight = 0.05
+	// maxCells bounds the cells of a tally and the routes with a typical latency. Calls
+	// that would need further ones are not counted.
+	maxCells = 4096
 )
 
-// Seen is a call that an upstream has run.
+// Seen describes a call that an upstream has run.
 type Seen struct {
 	Route string
-	// Upstream is its ID if it is tried.
+	// Upstream is the upstream's ID if it is a canary, else "".
 	Upstream string
-	Target   bool
-	// Moved says that calls move to the new version.
+	// Target is set if the upstream is of the new version.
+	Target bool
+	// Moved is set if all calls are moving to the new version.
 	Moved  bool
 	Failed bool
-	// Took is how long the upstream took, as its owner has measured it: daemons call
-	// upstreams on their own VM and on others. Zero: not told.
+	// Took is how long the upstream took, as measured by its owner, since daemons call
+	// upstreams on their own VM and on others. Zero if unknown.
 	Took time.Duration
 }
 
-// Note counts a call: each to the new version, and of the others the next few of the
-// same route.
-func (e *Evidence) Note(s Seen) {
-	cell := Cell{Route: Hash(s.Route), Target: s.Target, Moved: s.Moved}
-	if s.Upstream != "" {
-		cell.Upstream = Hash(s.Upstream)
+// Note counts a call. It counts each call to the new version and, for each of them, the next
+// few calls of the same route to other versions.
+func (e *Evidence) Note(call Seen) {
+	cell := Cell{Route: Hash(call.Route), Target: call.Target, Moved: call.Moved}
+	if call.Upstream != "" {
+		cell.Upstream = Hash(call.Upstream)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n := e.count(cell, s)
+	n := e.count(cell, call)
 	key := controlKey{cell.Route, cell.Moved}
 	switch {
-	case s.Target:
-		e.controls[key] += Controls
-	case e.controls[key] > 0:
-		e.controls[key]--
+	case call.Target:
+		e.controlsDue[key] += Controls
+	case e.controlsDue[key] > 0:
+		e.controlsDue[key]--
 	default:
 		return
 	}
-	if _, known := e.tally[cell]; known || len(e.tally) < cellsMost {
-		e.tally[cell] = e.tally[cell].plus(n)
+	if _, known := e.tally[cell]; known || len(e.tally) < maxCells {
+		e.tally[cell] = e.tally[cell].add(n)
 	}
 }
 
-// count returns what a call counts as, and learns from it what is usual.
-func (e *Evidence) count(cell Cell, s Seen) Count {
-	if s.Failed {
+// count returns the counts of one call, and updates the typical latency.
+func (e *Evidence) count(cell Cell, call Seen) Count {
+	if call.Failed {
 		return Count{N: 1, Failed: 1}
 	}
-	usual := e.usual[cell.Route]
-	if !s.Target && s.Took > 0 {
-		if usual == 0 {
-			usual = s.Took
+	typical := e.typicalLatency[cell.Route]
+	if !call.Target && call.Took > 0 {
+		if typical == 0 {
+			typical = call.Took
 		}
-		usual += time.Duration(usualWeight * float64(s.Took-usual))
-		if _, known := e.usual[cell.Route]; known || len(e.usual) < cellsMost {
-			e.usual[cell.Route] = usual
+		typical += time.Duration(latencyWeight * float64(call.Took-typical))
+		if _, known := e.typicalLatency[cell.Route]; known || len(e.typicalLatency) < maxCells {
+			e.typicalLatency[cell.Route] = typical
 		}
 	}
-	if usual == 0 || s.Took == 0 {
+	if typical == 0 || call.Took == 0 {
 		return Count{N: 1}
 	}
 	n := Count{N: 1, Timed: 1}
-	if s.Took > usual+slowBy && float64(s.Took) > slowTimes*float64(usual) {
+	if call.Took > typical+slowMargin && float64(call.Took) > slowFactor*float64(typical) {
 		n.Slow = 1
 	}
 	return n
 }
 
-// Rows returns what was seen so far.
+// Rows returns the counts so far.
 func (e *Evidence) Rows() []Row {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/rollout/evidence_test.go
+++ b/internal/rollout/evidence_test.go
@@ -7,9 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// TestOtherVersionsAreCountedBesideTheNewOne counts calls to others only after those to
-// the new version, on the same route: what is compared happened at one time and place.
-func TestOtherVersionsAreCountedBesideTheNewOne(t *testing.T) {
+// TestOtherVersionsAreSampledBesideTheNewOne checks that calls to other versions are counted
+// only after calls to the new version on the same route. Calls of another time or route
+// would make the comparison unfair.
+func TestOtherVersionsAreSampledBesideTheNewOne(t *testing.T) {
 	is := is.New(t)
 	e := NewEvidence()
 	old := Seen{Route: "a", Took: time.Second}
@@ -28,9 +29,9 @@
 	is.Equal(sum.Sum(true), Count{N: 2, Failed: 1, Timed: 1, Slow: 1})
 }
 
-// TestFewMillisecondsMoreAreNotSlow covers upstreams whose work takes less than opening a
-// connection does.
-func TestFewMillisecondsMoreAreNotSlow(t *testing.T) {
+// TestConnectionSetupIsNotSlow guards against answers counted as slow only because a new
+// connection was opened, which can take longer than the upstream's work.
+func TestConnectionSetupIsNotSlow(t *testing.T) {
 	is := is.New(t)
 	e := NewEvidence()
 	e.Note(Seen{Route: "a", Took: 250 * time.Microsecond})
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -7,37 +7,38 @@
 )
 
 const (
-	// leastRate is the least part of the calls of the other versions that is taken to
-	// fail or to be slow: a new version is not reverted for one bad answer.
-	leastRate = 0.02
-	// priorCalls is how many calls at leastRate the evidence of the other versions
-	// begins with.
+	// minBadRate is the least rate of failed or slow answers assumed of the other
+	// versions, so that a new version is not reverted for one bad answer.
+	minBadRate = 0.02
+	// priorCalls is the number of calls, with bad answers at minBadRate, that the counts
+	// of the other versions begin with.
 	priorCalls = 20
-	// worseBy and worseTimes say what a bad version does: its rate is that of the others
-	// plus the one, or times the other, whichever is more.
-	worseBy    = 0.08
-	worseTimes = 2.0
-	// waveRoom is added to the others' part where all calls go to the new version: a
-	// wave of failures that concerns all upstreams cannot be told from it, but for its
-	// height.
-	waveRoom = 0.4
-	// certainty is the logarithm of how many times as likely the evidence must be if the
-	// version is bad: by Wald's bound a good one is reverted once in that many trials of
-	// a route.
-	certainty = 9.2
-	// shows is the same for each upstream that is left without the worst ones.
-	shows = 1.75
+	// badMargin and badFactor define a bad version: its rate of bad answers is that of
+	// the other versions plus badMargin or times badFactor, whichever is more.
+	badMargin = 0.08
+	badFactor = 2.0
+	// movedMargin is added to the rate of the other versions once all calls go to the new
+	// version. There are then no others to compare with at the same time, and a burst of
+	// failures that affects all upstreams differs from a bad version only in size.
+	movedMargin = 0.4
+	// evidenceThreshold is the log likelihood ratio of a bad to a good version from which
+	// on a version is reverted. By Wald's bound a good version is reverted in at most one
+	// of exp(evidenceThreshold) trials of a route.
+	evidenceThreshold = 9.2
+	// upstreamThreshold is the log likelihood ratio that is also required per canary that
+	// remains after the worst ones are excluded.
+	upstreamThreshold = 1.75
 )
 
-// Judge says why a new version is worse than the others, or nothing, while so many of its
-// upstreams are tried. For each route it compares failures and slow answers by a
-// sequential probability ratio test (Wald, 1945), which may be looked at after every call;
-// and it must show without those of the upstreams tried that do worst, since single ones
-// fail for reasons of their own.
-func Judge(t Tally, tried int) string {
-	for group := range groupsOf(t) {
-		for _, sort := range sorts {
-			if why := worse(t, group, sort, tried); why != "" {
+// Judge returns why a new version is worse than the others, or "" if that is not shown.
+// canaries is the number of upstreams on which the version is tried. For each route Judge
+// compares failures and slow answers by a sequential probability ratio test (Wald, 1945),
+// which may be evaluated after every call. The evidence must also hold without the worst of
+// the canaries, since single upstreams fail for reasons of their own.
+func Judge(t Tally, canaries int) string {
+	for g := range groupsOf(t) {
+		for _, kind := range badAnswers {
+			if why := whyWorse(t, g, kind, canaries); why != "" {
 				return why
 			}
 		}
@@ -45,19 +46,19 @@
 	return ""
 }
 
-// sort is a sort of bad answer.
-type sort struct {
-	name string
-	of   func(Count) (bad, all int)
+// badAnswer is a kind of bad answer.
+type badAnswer struct {
+	name   string
+	counts func(Count) (bad, all int)
 }
 
-var sorts = []sort{
+var badAnswers = []badAnswer{
 	{"failed", func(c Count) (int, int) { return c.Failed, c.N }},
 	{"slow", func(c Count) (int, int) { return c.Slow, c.Timed }},
 }
 
-// group is what is judged together: a route, or all of them, where a version that is bad on
-// each shows sooner.
+// group is a set of calls that are judged together: those of one route, or those of all
+// routes, where a version that is bad on each of them is detected sooner.
 type group struct {
 	route uint32
 	all   bool
@@ -75,70 +76,76 @@
 	return groups
 }
 
-// target reports whether a cell of the new version is in the group, others whether one
-// of the others is what it is compared with.
-func (g group) target(c Cell) bool { return c.Target && g.on(c) && c.Moved == g.moved }
-func (g group) others(c Cell) bool { return !c.Target && g.on(c) }
-func (g group) on(c Cell) bool     { return g.all || c.Route == g.route }
+// matchesTarget reports whether a cell holds calls of the group to the new version.
+func (g group) matchesTarget(c Cell) bool { return c.Target && g.matchesRoute(c) && c.Moved == g.moved }
 
-func (t Tally) sum(in func(Cell) bool) Count {
+// matchesOthers reports whether a cell holds calls to other versions that the group is
+// compared with.
+func (g group) matchesOthers(c Cell) bool { return !c.Target && g.matchesRoute(c) }
+
+func (g group) matchesRoute(c Cell) bool { return g.all || c.Route == g.route }
+
+func (t Tally) sum(match func(Cell) bool) Count {
 	var sum Count
 	for cell, n := range t {
-		if in(cell) {
-			sum = sum.plus(n)
+		if match(cell) {
+			sum = sum.add(n)
 		}
 	}
 	return sum
 }
 
-// worse tests one sort of bad answer in a group.
-func worse(t Tally, g group, s sort, tried int) string {
-	bad, all := s.of(t.sum(g.target))
-	oldBad, oldAll := s.of(t.sum(g.others))
-	usual := (float64(oldBad) + leastRate*priorCalls) / (float64(oldAll) + priorCalls)
-	compared := usual
+// whyWorse tests the rate of one kind of bad answer in a group. It returns "" unless the new
+// version is worse.
+func whyWorse(t Tally, g group, kind badAnswer, canaries int) string {
+	newBad, newAll := kind.counts(t.sum(g.matchesTarget))
+	oldBad, oldAll := kind.counts(t.sum(g.matchesOthers))
+	otherRate := (float64(oldBad) + minBadRate*priorCalls) / (float64(oldAll) + priorCalls)
+	baseRate := otherRate
 	if g.moved {
-		compared += waveRoom
+		baseRate += movedMargin
 	}
-	test := newRatio(compared)
-	if test.of(bad, all) < certainty || withoutWorst(t, g, s, test, tried) < shows*float64(tried-worst(tried)) {
+	ratio := newLogRatio(baseRate)
+	if ratio.total(newBad, newAll) < evidenceThreshold || totalWithoutWorst(t, g, kind, ratio, canaries) < upstreamThreshold*float64(canaries-excludedUpstreams(canaries)) {
 		return ""
 	}
-	return fmt.Sprintf("%d of %d answers %s, %.3f of the other versions'", bad, all, s.name, usual)
+	return fmt.Sprintf("%d of %d answers %s, %.3f of the other versions'", newBad, newAll, kind.name, otherRate)
 }
 
-// ratio is the logarithm of how much more likely a bad and a good answer are from a bad
-// version.
-type ratio struct{ bad, good float64 }
+// logRatio holds the log likelihood ratios of a bad to a good version for one bad answer and
+// for one good answer.
+type logRatio struct{ bad, good float64 }
 
-func newRatio(usual float64) ratio {
-	usual = min(max(usual, leastRate), 1-worseBy-leastRate)
-	suspect := min(max(usual+worseBy, worseTimes*usual), 1-leastRate)
-	return ratio{bad: math.Log(suspect / usual), good: math.Log((1 - suspect) / (1 - usual))}
+func newLogRatio(baseRate float64) logRatio {
+	baseRate = min(max(baseRate, minBadRate), 1-badMargin-minBadRate)
+	badRate := min(max(baseRate+badMargin, badFactor*baseRate), 1-minBadRate)
+	return logRatio{bad: math.Log(badRate / baseRate), good: math.Log((1 - badRate) / (1 - baseRate))}
 }
 
-func (r ratio) of(bad, all int) float64 {
+func (r logRatio) total(bad, all int) float64 {
 	return float64(bad)*r.bad + float64(all-bad)*r.good
 }
 
-// worst is how many of the upstreams tried are left out: fewer than half.
-func worst(tried int) int { return max(0, tried-1) / 2 }
+// excludedUpstreams returns how many of the canaries are excluded as the worst: fewer than
+// half.
+func excludedUpstreams(canaries int) int { return max(0, canaries-1) / 2 }
 
-// withoutWorst is the test of a group without the worst of the upstreams tried.
-func withoutWorst(t Tally, g group, s sort, test ratio, tried int) float64 {
-	each := map[uint32]Count{}
+// totalWithoutWorst returns the log likelihood ratio of a group without the worst of the
+// canaries.
+func totalWithoutWorst(t Tally, g group, kind badAnswer, ratio logRatio, canaries int) float64 {
+	perUpstream := map[uint32]Count{}
 	for cell, n := range t {
-		if cell.Upstream != 0 && g.target(cell) {
-			each[cell.Upstream] = each[cell.Upstream].plus(n)
+		if cell.Upstream != 0 && g.matchesTarget(cell) {
+			perUpstream[cell.Upstream] = perUpstream[cell.Upstream].add(n)
 		}
 	}
-	var by []float64
-	for _, n := range each {
-		by = append(by, test.of(s.of(n)))
+	var totals []float64
+	for _, n := range perUpstream {
+		totals = append(totals, ratio.total(kind.counts(n)))
 	}
-	slices.Sort(by)
+	slices.Sort(totals)
 	sum := 0.0
-	for _, x := range by[:max(0, len(by)-worst(tried))] {
+	for _, x := range totals[:max(0, len(totals)-excludedUpstreams(canaries))] {
 		sum += x
 	}
 	return sum
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -10,90 +10,97 @@
 )
 
 const (
-	// tasteUntil, loadUntil and moveFrom divide the time of a roll-out. Until the first
-	// the new version gets a thin part of the calls, until the second as much as shows
-	// how it bears load; until the third what was seen of that is judged everywhere, and
-	// then all calls move.
-	tasteUntil = 0.4
-	loadUntil  = 0.55
-	moveFrom   = 0.72
-	// tasteShare, loadShare and pauseShare are the parts of the calls in these times, as
-	// multiples of the exposure allowed. Over the whole time they stay below it: the rest
-	// covers repeats and daemons that hear of a phase late.
-	tasteShare = 0.5
-	loadShare  = 3.0
-	pauseShare = 0.25
-	// settlePart bounds how long calls may take to move, as a part of the time.
-	settlePart = 0.2
-	// warmPart is the part of the time in which new upstreams may be cold: slow answers
-	// are no evidence before.
-	warmPart = 0.3
-	// longestWarm bounds that.
-	longestWarm = 4 * time.Second
-	// Canaries and leastCanaries bound how many upstreams of a new version are tried:
-	// enough that those which are faulty by themselves do not look like the version.
-	Canaries      = 5
-	leastCanaries = 3
+	// initialUntil, loadUntil and moveFrom divide a rollout into steps, as fractions of
+	// its duration. Up to initialUntil the new version gets a small share of the calls, up
+	// to loadUntil a share that shows how it performs under load. Up to moveFrom the
+	// results of that are gathered and judged at a reduced share; then all calls move.
+	initialUntil = 0.4
+	loadUntil    = 0.55
+	moveFrom     = 0.72
+	// initialShare, loadShare and pauseShare are the shares of the calls in the first
+	// three steps, as multiples of the allowed exposure. Over the whole duration their
+	// average stays below it: the rest covers retries and daemons that learn of a phase
+	// late.
+	initialShare = 0.5
+	loadShare    = 3.0
+	pauseShare   = 0.25
+	// settleFraction bounds how long calls may take to move, as a fraction of the
+	// duration.
+	settleFraction = 0.2
+	// warmUpFraction is the fraction of the duration in which new upstreams may still be
+	// cold. Slow answers do not count as evidence until it is over.
+	warmUpFraction = 0.3
+	// maxWarmUp bounds the time given by warmUpFraction.
+	maxWarmUp = 4 * time.Second
+	// Canaries and minCanaries bound the number of canaries, the upstreams on which a new
+	// version is tried. There are enough of them that single faulty upstreams do not make
+	// the version look bad.
+	Canaries    = 5
+	minCanaries = 3
 )
 
-// Plan is what follows from an order and its deployment.
+// Plan is the schedule of a rollout, which follows from its order and the deployment's
+// settings.
 type Plan struct {
 	Duration time.Duration
-	// Exposure is the part of the calls, from the order to its deadline, that a bad
+	// Exposure is the fraction of the calls between the order and its deadline that a bad
 	// version may get.
 	Exposure float64
-	// Settle is how long it takes until every daemon has heard of a change and has
-	// ended what it ran before.
+	// Settle is how long it takes until every daemon has received a change and has
+	// finished the calls that it was running before.
 	Settle time.Duration
 }
 
-// Share returns the part of the calls that the new version may get so long after the
-// order, while so many of its upstreams are tried and there are so many others. Until all
-// calls move it gets less than Exposure of those up to the deadline, if they go on as
-// before, and none of its upstreams gets more than one of the others.
-func (p Plan) Share(elapsed time.Duration, tried, others int) float64 {
-	part := pauseShare
-	switch at := float64(elapsed) / float64(p.Duration); {
-	case at < tasteUntil:
-		part = tasteShare
-	case at < loadUntil:
-		part = loadShare
+// Share returns the share of the calls that the new version gets at the given time after the
+// order, with that many active canaries and that many upstreams of other versions. Until all
+// calls move, the version gets less than Exposure of all calls up to the deadline, provided
+// that the rate of calls stays the same, and no canary gets more calls than an upstream of
+// another version.
+func (p Plan) Share(elapsed time.Duration, active, others int) float64 {
+	multiple := pauseShare
+	switch progress := float64(elapsed) / float64(p.Duration); {
+	case progress < initialUntil:
+		multiple = initialShare
+	case progress < loadUntil:
+		multiple = loadShare
 	}
-	return min(part*p.Exposure, float64(tried)/float64(max(1, tried+others)))
+	return min(multiple*p.Exposure, float64(active)/float64(max(1, active+others)))
 }
 
-// Warm reports whether slow answers are evidence so long after the order.
+// Warm reports whether the warm-up is over at the given time after the order, so that slow
+// answers count as evidence.
 func (p Plan) Warm(elapsed time.Duration) bool {
-	return elapsed >= min(time.Duration(warmPart*float64(p.Duration)), longestWarm)
+	return elapsed >= min(time.Duration(warmUpFraction*float64(p.Duration)), maxWarmUp)
 }
 
-// MoveAt is how long after the order all calls move.
+// MoveAt returns the time after the order at which all calls move to the new version.
 func (p Plan) MoveAt() time.Duration { return time.Duration(moveFrom * float64(p.Duration)) }
 
-// CompleteAfter is how long calls are given to move.
+// CompleteAfter returns how long the calls may take to move.
 func (p Plan) CompleteAfter() time.Duration {
-	return min(p.Settle, time.Duration(settlePart*float64(p.Duration)))
+	return min(p.Settle, time.Duration(settleFraction*float64(p.Duration)))
 }
 
-// Choose returns the IDs of the upstreams that are tried, of those of the new version: the
-// same ones on every daemon that knows the same upstreams.
-func (p Plan) Choose(target []string, others int) []string {
-	list := slices.Clone(target)
+// Choose returns the IDs of the canaries among the new version's upstreams. Daemons that
+// know the same upstreams choose the same ones.
+func (p Plan) Choose(ids []string, others int) []string {
+	list := slices.Clone(ids)
 	slices.SortFunc(list, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 	})
-	return list[:min(max(leastCanaries, p.AtOnce(Canaries, others)), len(list))]
+	return list[:min(max(minCanaries, p.AtOnce(Canaries, others)), len(list))]
 }
 
-// AtOnce returns how many of the upstreams chosen are tried at a time: as few as take the
-// largest share with the load of one of the others, so that it shows how they bear it.
+// AtOnce returns the number of canaries that get calls at the same time: as few as can take
+// the largest share at the load of an upstream of another version, so that they are tested
+// under that load.
 func (p Plan) AtOnce(chosen, others int) int {
 	return min(chosen, max(1, int(math.Ceil(loadShare*p.Exposure*float64(others)))))
 }
 
-// Turn returns the first of the upstreams chosen that are tried so long after the order.
-// Where a few of them take the whole share, they take turns.
+// Turn returns the index of the first active canary at the given time after the order. If
+// fewer than all canaries are active, they take turns.
 func (p Plan) Turn(elapsed time.Duration, chosen int) int {
-	turn := float64(chosen) * float64(elapsed) / ((loadUntil - tasteUntil) * float64(p.Duration))
-	return int(turn) % max(1, chosen)
+	step := float64(chosen) * float64(elapsed) / ((loadUntil - initialUntil) * float64(p.Duration))
+	return int(step) % max(1, chosen)
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,7 +1,7 @@
 // Package rollout decides how a service's calls move to a new version of its upstreams:
-// what part of them the new version may get, when all of them move, and when it is
-// reverted because it serves them worse than the others do. It carries nothing, and the
-// time is handed in.
+// which share of them the new version gets, when all of them move, and when the version is
+// reverted because it performs worse than the others. It does no I/O, and the time is passed
+// in.
 package rollout
 
 import (
@@ -11,20 +11,20 @@
 	"github.com/pkg/errors"
 )
 
-// Order is an operator's wish to move a service to a version.
+// Order is an operator's request to move a service to a version.
 type Order struct {
-	// ID grows with each order: the newest of a service counts.
+	// ID increases with each order. The newest order of a service is in effect.
 	ID      uint64 `json:"id"`
 	Service string `json:"service"`
 	Target  string `json:"target"`
-	// Duration is how long the roll-out may take.
+	// Duration is how long the rollout may take.
 	Duration time.Duration `json:"duration"`
 }
 
-// maxName bounds the names in an order, in bytes.
+// maxName is the maximum length of the names in an order, in bytes.
 const maxName = 255
 
-// Check says why an order cannot be followed.
+// Check returns an error if the order is invalid.
 func (o Order) Check() error {
 	switch {
 	case o.Service == "" || len(o.Service) > maxName:
@@ -37,16 +37,16 @@
 	return nil
 }
 
-// Phase is how far a roll-out has come. It only grows within an order.
+// Phase is the phase of a rollout. It only increases within an order.
 type Phase int
 
 // The phases.
 const (
-	// Trying: a few upstreams of the new version get a small part of the calls.
+	// Trying: a few upstreams of the new version, the canaries, get a share of the calls.
 	Trying Phase = iota + 1
-	// Moving: the new version gets all calls, the others end those that they run.
+	// Moving: the new version gets all calls; the others finish those that they run.
 	Moving
-	// Completed: the others may stop at once. Final.
+	// Completed: upstreams of other versions may stop at any time. Final.
 	Completed
 	// Reverted: the new version gets no calls. Final.
 	Reverted
@@ -60,20 +60,22 @@
 // Final reports whether nothing follows the phase.
 func (p Phase) Final() bool { return p == Completed || p == Reverted }
 
-// Record is what is agreed of a service's roll-out.
+// Record is the agreed state of a service's rollout, as the store holds it.
 type Record struct {
 	Order
 	Phase Phase `json:"phase"`
-	// Barred are the versions that were reverted and not ordered again since.
+	// Barred are the versions that were reverted, or given up before completion, and have
+	// not been ordered again since. They get no calls.
 	Barred []string `json:"barred,omitempty"`
-	// Began is when the order was first seen, in Unix milliseconds of the clock of the
-	// daemon that saw it: only for those who learn of it from nobody else.
+	// Began is when the order was first seen, in Unix milliseconds by the clock of the
+	// daemon that saw it. It is used only by daemons that read the record from the store
+	// and have not received its age from another daemon.
 	Began int64 `json:"began"`
-	// Why explains a final phase.
+	// Why is the reason for a final phase.
 	Why string `json:"why,omitempty"`
 }
 
-// Check says why a record cannot be one.
+// Check returns an error if the record is invalid.
 func (r Record) Check() error {
 	if phaseNames[r.Phase] == "" {
 		return errors.Errorf("roll-out of %s: no phase %d", r.Service, r.Phase)
@@ -81,8 +83,8 @@
 	return r.Order.Check()
 }
 
-// Begin returns the record of an order that follows the service's last one, which may be
-// the zero record.
+// Begin returns the first record of an order. last is the service's previous record, or the
+// zero record.
 func (o Order) Begin(last Record, began time.Time) Record {
 	r := Record{Order: o, Phase: Trying, Began: began.UnixMilli()}
 	barred := slices.Clone(last.Barred)
@@ -97,7 +99,7 @@
 	return r
 }
 
-// To returns the record in a later phase.
+// To returns the record advanced to a later phase.
 func (r Record) To(p Phase, why string) Record {
 	r.Phase, r.Why = p, why
 	if p == Reverted && !slices.Contains(r.Barred, r.Target) {
@@ -106,9 +108,9 @@
 	return r
 }
 
-// Follows reports whether r may come after o in the history of a service: it is of a
-// later order, or of the same one in a later phase; nothing comes after a final one but
-// a later order.
+// Follows reports whether r may succeed o in the history of a service: it belongs to a later
+// order, or to the same order in a later phase. A final phase is succeeded only by a later
+// order.
 func (r Record) Follows(o Record) bool {
 	if r.ID != o.ID {
 		return r.ID > o.ID
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestOrdersThatCannotBeFollowedAreRefused(t *testing.T) {
+func TestInvalidOrdersAreRefused(t *testing.T) {
 	is := is.New(t)
 	good := Order{ID: 3, Service: "s", Target: "v2", Duration: time.Second}
 	is.NoErr(good.Check())
@@ -26,7 +26,7 @@
 	is.NoErr(good.Begin(Record{}, time.Now()).Check())
 }
 
-func TestWhatWasRevertedStaysBarredUntilOrderedAgain(t *testing.T) {
+func TestRevertedVersionStaysBarredUntilOrderedAgain(t *testing.T) {
 	is := is.New(t)
 	v2 := Order{ID: 1, Service: "s", Target: "v2", Duration: time.Second}
 	v3 := Order{ID: 2, Service: "s", Target: "v3", Duration: time.Second}
@@ -35,39 +35,40 @@
 	is.Equal(reverted.Barred, []string{"v2"})
 	next := v3.Begin(reverted, time.Now())
 	is.Equal(next.Barred, []string{"v2"})
-	is.Equal(again.Begin(next, time.Now()).Barred, []string{"v3"}) // given up before it was completed
-	done := next.To(Completed, "")
-	is.Equal(again.Begin(done, time.Now()).Barred, nil)
+	is.Equal(again.Begin(next, time.Now()).Barred, []string{"v3"}) // replaced before it was completed
+	completed := next.To(Completed, "")
+	is.Equal(again.Begin(completed, time.Now()).Barred, nil)
 }
 
-// TestRecordsOnlyGoForward merges any records of a service in any order: the result is
-// the same, and a final phase is left for a later order only.
-func TestRecordsOnlyGoForward(t *testing.T) {
+// TestRecordsOnlyAdvance merges random records of a service. The merged record must never go
+// back to an older order or an earlier phase, and must leave a final phase only for a later
+// order.
+func TestRecordsOnlyAdvance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "records")
-		var now Record
+		var current Record
 		for i := range n {
 			r := Record{
 				Order: Order{ID: rapid.Uint64Range(1, 3).Draw(t, fmt.Sprint("id", i)), Service: "s", Target: "v", Duration: time.Second},
 				Phase: Phase(rapid.IntRange(int(Trying), int(Reverted)).Draw(t, fmt.Sprint("phase", i))),
 			}
-			before := now
-			if r.Follows(now) {
-				now = r
+			before := current
+			if r.Follows(current) {
+				current = r
 			}
-			if now.ID < before.ID {
-				t.Fatalf("an older order took over: %+v after %+v", now, before)
+			if current.ID < before.ID {
+				t.Fatalf("record went back to an older order: %+v after %+v", current, before)
 			}
-			if now.ID == before.ID && (now.Phase < before.Phase || before.Phase.Final() && now.Phase != before.Phase) {
-				t.Fatalf("went back: %+v after %+v", now, before)
+			if current.ID == before.ID && (current.Phase < before.Phase || before.Phase.Final() && current.Phase != before.Phase) {
+				t.Fatalf("record left a later or final phase: %+v after %+v", current, before)
 			}
 		}
 	})
 }
 
-// TestExposureStaysBelowItsBound demands, for any deployment and any time, that the new
-// version gets no more than its part of the calls before all of them move, and none of
-// its upstreams more than one of the others.
+// TestExposureStaysBelowItsBound checks for random deployments that the new version gets no
+// more than its share of the calls before all of them move, and that no canary gets more
+// calls than an upstream of another version.
 func TestExposureStaysBelowItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Plan{
@@ -87,20 +88,20 @@
 			if at >= p.MoveAt() {
 				break
 			}
-			tried := p.AtOnce(len(chosen), others)
-			share := p.Share(at, tried, others)
+			active := p.AtOnce(len(chosen), others)
+			share := p.Share(at, active, others)
 			exposed += share / steps
-			if each := share / float64(tried); each > 1/float64(others)+1e-9 {
-				t.Fatalf("each of %d upstreams tried gets %.4f, one of %d others %.4f", tried, each, others, 1/float64(others))
+			if each := share / float64(active); each > 1/float64(others)+1e-9 {
+				t.Fatalf("each of %d active canaries gets %.4f of the calls, want at most that of one of %d others: %.4f", active, each, others, 1/float64(others))
 			}
 		}
 		if exposed > 0.7*p.Exposure {
-			t.Fatalf("%.4f of the calls go to the new version, %.4f allowed", exposed, p.Exposure)
+			t.Fatalf("new version gets %.4f of the calls, want at most 0.7 of the exposure %.4f", exposed, p.Exposure)
 		}
 	})
 }
 
-func TestFewRoutesAreCountedApart(t *testing.T) {
+func TestRowsAreBounded(t *testing.T) {
 	is := is.New(t)
 	tally := Tally{}
 	total := 0
@@ -122,157 +123,164 @@
 	is.True(!ValidRows([]Row{{Cell{}, Count{N: -1}}}))
 }
 
-// world is a service during a roll-out, in virtual time: calls at a rate over routes, each
-// to an upstream that may be faulty by itself for a while.
-type world struct {
+// simulation describes a service during a rollout in virtual time: calls at a fixed rate,
+// spread over routes, to upstreams that may each be faulty for a while.
+type simulation struct {
+	// rate is in calls per second; others and target are the numbers of upstreams of the
+	// other versions and of the new one.
 	rate     float64
 	others   int
 	target   int
 	duration time.Duration
-	// routes hold their parts of the calls.
+	// routes holds the share of the calls of each route.
 	routes []float64
-	// usual is the part of the calls that fails anyway, wave more of it in a window.
-	usual, wave float64
-	waveAt      float64
-	// bad says what the new version does.
-	bad badness
-	// faults is the part of the upstreams of either version that is faulty in a window.
-	faults float64
+	// failureRate is the fraction of calls that always fail. burst is added to it for a
+	// while from burstAt on, a fraction of the duration.
+	failureRate, burst float64
+	burstAt            float64
+	// bad is the defect of the new version.
+	bad defect
+	// faultyFraction is the fraction of the upstreams of all versions that are faulty for
+	// a while.
+	faultyFraction float64
 }
 
-// badness is how a version is bad.
-type badness struct {
-	// part of its answers fail, or take times as long as usual.
-	part  float64
-	times float64
-	// from and load say when: after that part of the time, from that load of an
-	// upstream on, where one of the others has 1.
+// defect describes how a version is bad.
+type defect struct {
+	// probability is the fraction of the affected calls that fail or, if latencyFactor is
+	// above zero, are slow.
+	probability   float64
+	latencyFactor float64
+	// The defect shows from the fraction from of the duration on, at upstreams with at
+	// least the load load, where an upstream of another version has 1.
 	from, load float64
-	// route is the only one concerned, or -1.
+	// route is the only route affected, or -1 for all.
 	route int
 }
 
+// fault is a fault of a single upstream during a part of the rollout.
 type fault struct {
-	from, until float64
-	fails, slow float64
+	from, until                float64
+	failureRate, latencyFactor float64
 }
 
-// verdict is how a roll-out ended.
-type verdict struct {
+// result is the result of a simulated rollout.
+type result struct {
 	reverted bool
-	// exposed is the part of the calls that the new version had got by then.
+	// exposed is the fraction of the calls that the new version got.
 	exposed float64
 	why     string
 }
 
-// lag is how long it takes until what daemons have seen is judged and heeded by all.
-const lag = 2 * time.Second
+// reactionDelay is how long it takes from a call until its result has been judged and all
+// daemons have received a decision to stop.
+const reactionDelay = 2 * time.Second
 
-// play carries a roll-out through, with judge deciding.
-func (w world) play(seed uint64, judge func(Tally, int) string) verdict {
+// run simulates a rollout in which judge decides whether the version is reverted.
+func (s simulation) run(seed uint64, judge func(Tally, int) string) result {
 	rng := rand.New(rand.NewPCG(seed, seed))
-	p := Plan{Duration: w.duration, Exposure: 0.1, Settle: 3 * time.Second}
-	ids := make([]string, w.target)
+	p := Plan{Duration: s.duration, Exposure: 0.1, Settle: 3 * time.Second}
+	ids := make([]string, s.target)
 	for i := range ids {
 		ids[i] = fmt.Sprint("u", i)
 	}
-	tried := p.Choose(ids, w.others)
-	faultOf := func() fault {
-		if rng.Float64() >= w.faults {
+	tried := p.Choose(ids, s.others)
+	randomFault := func() fault {
+		if rng.Float64() >= s.faultyFraction {
 			return fault{}
 		}
 		f := fault{from: rng.Float64() * 0.6}
 		f.until = f.from + 0.5
 		if rng.IntN(2) == 0 {
-			f.fails = 0.2 + 0.8*rng.Float64()
+			f.failureRate = 0.2 + 0.8*rng.Float64()
 		} else {
-			f.slow = 5
+			f.latencyFactor = 5
 		}
 		return f
 	}
-	faults, otherFaults := make([]fault, len(tried)), make([]fault, w.others)
-	for i := range faults {
-		faults[i] = faultOf()
+	canaryFaults, otherFaults := make([]fault, len(tried)), make([]fault, s.others)
+	for i := range canaryFaults {
+		canaryFaults[i] = randomFault()
 	}
 	for i := range otherFaults {
-		otherFaults[i] = faultOf()
+		otherFaults[i] = randomFault()
 	}
 	tally := Tally{}
 	var pending []Tally
 	exposed, total, share := 0, 0, 0.0
-	controls := make([]int, len(w.routes))
+	controls := make([]int, len(s.routes))
 	const step = 200 * time.Millisecond
 	end := p.MoveAt() + p.CompleteAfter()
 	for at := time.Duration(0); at < end; at += step {
-		part := float64(at) / float64(w.duration)
-		news := Tally{}
+		progress := float64(at) / float64(s.duration)
+		stepTally := Tally{}
 		share = 1
 		active := tried
 		if at < p.MoveAt() {
-			first, n := p.Turn(at, len(tried)), p.AtOnce(len(tried), w.others)
+			first, n := p.Turn(at, len(tried)), p.AtOnce(len(tried), s.others)
 			active = slices.Concat(tried, tried)[first : first+n]
-			share = p.Share(at, n, w.others)
+			share = p.Share(at, n, s.others)
 		}
-		calls := int(w.rate * step.Seconds())
-		total += calls
-		for range calls {
-			route := pickRoute(rng, w.routes)
+		callsPerStep := int(s.rate * step.Seconds())
+		total += callsPerStep
+		for range callsPerStep {
+			route := pickRoute(rng, s.routes)
 			cell := Cell{Route: Hash(fmt.Sprint(route))}
-			counts := true
-			fails, slow := w.usual, 0.04
-			if part >= w.waveAt && part < w.waveAt+0.2 {
-				fails += w.wave
-				slow += w.wave
+			counted := true
+			failureRate, slowRate := s.failureRate, 0.04
+			if progress >= s.burstAt && progress < s.burstAt+0.2 {
+				failureRate += s.burst
+				slowRate += s.burst
 			}
 			var f fault
 			if rng.Float64() < share {
 				exposed++
 				i := slices.Index(tried, active[rng.IntN(len(active))])
-				f = faults[i]
+				f = canaryFaults[i]
 				cell.Target, cell.Upstream, cell.Moved = true, Hash(tried[i]), at >= p.MoveAt()
 				controls[route] += Controls
-				load := share / float64(len(active)) * float64(w.others)
-				if part >= w.bad.from && load >= w.bad.load && (w.bad.route < 0 || w.bad.route == route) && rng.Float64() < w.bad.part {
-					if w.bad.times > 0 {
-						slow = 0.9
+				load := share / float64(len(active)) * float64(s.others)
+				if progress >= s.bad.from && load >= s.bad.load && (s.bad.route < 0 || s.bad.route == route) && rng.Float64() < s.bad.probability {
+					if s.bad.latencyFactor > 0 {
+						slowRate = 0.9
 					} else {
-						fails = 1
+						failureRate = 1
 					}
 				}
 			} else {
-				f = otherFaults[rng.IntN(w.others)]
-				counts = controls[route] > 0
+				f = otherFaults[rng.IntN(s.others)]
+				counted = controls[route] > 0
 				controls[route] = max(0, controls[route]-1)
 			}
-			if part >= f.from && part < f.until {
-				fails = max(fails, f.fails)
-				if f.slow > 0 {
-					slow = 0.9
+			if progress >= f.from && progress < f.until {
+				failureRate = max(failureRate, f.failureRate)
+				if f.latencyFactor > 0 {
+					slowRate = 0.9
 				}
 			}
 			n := Count{N: 1}
-			if rng.Float64() < fails {
+			if rng.Float64() < failureRate {
 				n.Failed = 1
 			} else if p.Warm(at) {
 				n.Timed = 1
-				if rng.Float64() < slow {
+				if rng.Float64() < slowRate {
 					n.Slow = 1
 				}
 			}
-			if counts {
-				news.Add([]Row{{cell, n}})
+			if counted {
+				stepTally.Add([]Row{{cell, n}})
 			}
 		}
-		pending = append(pending, news)
-		if old := len(pending) - 1 - int(lag/step); old >= 0 {
+		pending = append(pending, stepTally)
+		if old := len(pending) - 1 - int(reactionDelay/step); old >= 0 {
 			tally.Add(pending[old].Rows())
 		}
 		if why := judge(tally, len(tried)); why != "" {
-			// The calls go on without the new version until the deadline.
-			return verdict{true, float64(exposed) / (w.rate * w.duration.Seconds()), why}
+			// Calls go on without the new version until the deadline.
+			return result{true, float64(exposed) / (s.rate * s.duration.Seconds()), why}
 		}
 	}
-	return verdict{false, float64(exposed) / float64(total), ""}
+	return result{false, float64(exposed) / float64(total), ""}
 }
 
 func pickRoute(rng *rand.Rand, parts []float64) int {
@@ -286,25 +294,26 @@
 	return len(parts) - 1
 }
 
-// services are the ones that histories are played of: small, middle and large ones.
-var services = []world{
+// simulated holds the simulated services, from small to large.
+var simulated = []simulation{
 	{rate: 130, others: 3, target: 3, duration: 12 * time.Second, routes: []float64{0.5, 0.3, 0.2}},
 	{rate: 400, others: 14, target: 14, duration: 12 * time.Second, routes: []float64{0.6, 0.25, 0.15}},
 	{rate: 1900, others: 55, target: 55, duration: 12 * time.Second, routes: []float64{0.5, 0.3, 0.2}},
 	{rate: 4000, others: 200, target: 100, duration: 20 * time.Second, routes: []float64{0.4, 0.2, 0.2, 0.1, 0.1}},
 }
 
-// histories are played of each service, and the first compared of them with a simpler
-// way to judge as well.
+// runsPerService is the number of simulated rollouts per service; the first thresholdRuns of
+// them are also judged by a fixed threshold.
 const (
-	histories = 250
-	compared  = 25
+	runsPerService = 250
+	thresholdRuns  = 25
 )
 
-// fixedThreshold is the simpler way to judge: a set difference over a set number of calls.
+// fixedThreshold is a simpler judge, for comparison: it reverts at a fixed difference of the
+// rates after a fixed number of calls.
 func fixedThreshold(t Tally, _ int) string {
 	for g := range groupsOf(t) {
-		n, old := t.sum(g.target), t.sum(g.others)
+		n, old := t.sum(g.matchesTarget), t.sum(g.matchesOthers)
 		if n.N >= 30 && float64(n.Failed)/float64(n.N) > float64(old.Failed)/float64(max(1, old.N))+0.1 {
 			return "failed"
 		}
@@ -315,92 +324,95 @@
 	return ""
 }
 
-// good returns a good version of a service, beside faulty upstreams of either version and
-// a wave of failures that concerns all.
-func (w world) good(seed uint64) world {
+// withGoodVersion returns the service with a good new version, some faulty upstreams of all
+// versions, and a burst of failures that affects all upstreams.
+func (s simulation) withGoodVersion(seed uint64) simulation {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	w.usual, w.wave, w.waveAt, w.faults = 0.03*rng.Float64(), 0.4*rng.Float64(), rng.Float64(), 0.15
-	w.bad = badness{route: -1}
-	return w
+	s.failureRate, s.burst, s.burstAt, s.faultyFraction = 0.03*rng.Float64(), 0.4*rng.Float64(), rng.Float64(), 0.15
+	s.bad = defect{route: -1}
+	return s
 }
 
-// spoilt returns a version of a service that is bad at once, later, under load, or on one
-// route only, by failing or by being several times slower.
-func (w world) spoilt(seed uint64, kind int) world {
+// withBadVersion returns the service with a bad new version. By kind it is bad from the start
+// (0), after some time (1), under load (2) or on one route only (3); it either fails calls or
+// is several times slower.
+func (s simulation) withBadVersion(seed uint64, kind int) simulation {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	w.usual, w.wave, w.waveAt = 0.03*rng.Float64(), 0.2*rng.Float64(), rng.Float64()
-	w.bad = badness{part: 0.2 + 0.8*rng.Float64(), route: -1}
+	s.failureRate, s.burst, s.burstAt = 0.03*rng.Float64(), 0.2*rng.Float64(), rng.Float64()
+	s.bad = defect{probability: 0.2 + 0.8*rng.Float64(), route: -1}
 	switch kind {
 	case 1:
-		w.bad.from = 0.4 * rng.Float64()
+		s.bad.from = 0.4 * rng.Float64()
 	case 2:
-		w.bad.load = 0.6
+		s.bad.load = 0.6
 	case 3:
-		w.bad.route = 0
+		s.bad.route = 0
 	}
 	if rng.IntN(2) == 0 {
-		w.bad.times, w.bad.part = 4, 1
+		s.bad.latencyFactor, s.bad.probability = 4, 1
 	}
-	return w
+	return s
 }
 
-// seedOf numbers the histories of all services.
-func seedOf(service, n int) uint64 { return uint64(n*len(services) + service) }
+// seedOf returns the seed of a service's n-th rollout, which differs between all rollouts.
+func seedOf(service, n int) uint64 { return uint64(n*len(simulated) + service) }
 
-// TestGoodVersionsAreNotReverted allows one in a hundred.
+// TestGoodVersionsAreNotReverted checks that fewer than one in a hundred good versions are
+// reverted because of faulty upstreams or a burst of failures.
 func TestGoodVersionsAreNotReverted(t *testing.T) {
-	played, reverted, byThreshold := 0, 0, 0
-	for i, service := range services {
-		for n := range histories {
+	runs, reverted, byThreshold := 0, 0, 0
+	for i, service := range simulated {
+		for n := range runsPerService {
 			seed := seedOf(i, n)
-			w := service.good(seed)
-			if v := w.play(seed, Judge); v.reverted {
+			sim := service.withGoodVersion(seed)
+			if v := sim.run(seed, Judge); v.reverted {
 				reverted++
 				t.Logf("service %d, seed %d: %s", i, seed, v.why)
 			}
-			if n < compared && w.play(seed, fixedThreshold).reverted {
+			if n < thresholdRuns && sim.run(seed, fixedThreshold).reverted {
 				byThreshold++
 			}
-			played++
+			runs++
 		}
 	}
-	t.Logf("%d good versions: %d reverted; by a fixed threshold %d of %d", played, reverted, byThreshold, compared*len(services))
-	if reverted*100 >= played {
-		t.Errorf("%d of %d good versions are reverted", reverted, played)
+	t.Logf("%d good versions: %d reverted; by a fixed threshold %d of %d", runs, reverted, byThreshold, thresholdRuns*len(simulated))
+	if reverted*100 >= runs {
+		t.Errorf("%d of %d good versions were reverted, want fewer than one in a hundred", reverted, runs)
 	}
 }
 
-// TestBadVersionsAreReverted demands that none is completed, nor gets more than its part.
+// TestBadVersionsAreReverted checks that no bad version is completed or gets more than its
+// share of the calls.
 func TestBadVersionsAreReverted(t *testing.T) {
-	for i := 1; i < len(services); i++ {
-		playBad(t, i)
+	for i := 1; i < len(simulated); i++ {
+		testBadVersions(t, i)
 	}
 }
 
-// TestBadVersionsOfThreeUpstreamsAreReverted demands the same where a service has few
-// upstreams and calls.
-func TestBadVersionsOfThreeUpstreamsAreReverted(t *testing.T) { playBad(t, 0) }
+// TestBadVersionsOfThreeUpstreamsAreReverted checks the same for a service with few upstreams
+// and calls.
+func TestBadVersionsOfThreeUpstreamsAreReverted(t *testing.T) { testBadVersions(t, 0) }
 
-// allowedSlack is how many calls a bad version may get beyond its part.
-const allowedSlack = 50
+// slackCalls is how many calls a bad version may get beyond its share.
+const slackCalls = 50
 
-func playBad(t *testing.T, service int) {
+func testBadVersions(t *testing.T, service int) {
 	t.Helper()
-	missed, over := 0, 0
-	for n := range histories {
+	completed, overexposed := 0, 0
+	for n := range runsPerService {
 		seed := seedOf(service, n)
-		w := services[service].spoilt(seed, n%4)
-		v := w.play(seed, Judge)
+		sim := simulated[service].withBadVersion(seed, n%4)
+		v := sim.run(seed, Judge)
 		if !v.reverted {
-			missed++
-			t.Logf("service %d, seed %d: missed %+v", service, seed, w.bad)
+			completed++
+			t.Logf("service %d, seed %d: bad version not reverted: %+v", service, seed, sim.bad)
 		}
-		if v.exposed > 0.1+allowedSlack/(w.rate*w.duration.Seconds()) {
-			over++
-			t.Logf("service %d, seed %d: %.3f exposed, %+v: %s", service, seed, v.exposed, w.bad, v.why)
+		if v.exposed > 0.1+slackCalls/(sim.rate*sim.duration.Seconds()) {
+			overexposed++
+			t.Logf("service %d, seed %d: %.3f exposed, %+v: %s", service, seed, v.exposed, sim.bad, v.why)
 		}
 	}
-	if missed > 0 || over > 0 {
-		t.Errorf("of %d bad versions %d are completed, %d got more than their part", histories, missed, over)
+	if completed > 0 || overexposed > 0 {
+		t.Errorf("of %d bad versions, %d were completed and %d got more than their share; want none", runsPerService, completed, overexposed)
 	}
 }
--- a/internal/rollout/tally.go
+++ b/internal/rollout/tally.go
@@ -10,41 +10,43 @@
 	"github.com/pkg/errors"
 )
 
-// Count is what became of a number of calls.
+// Count counts calls by their results.
 type Count struct {
-	// N is how many upstreams have run.
+	// N is the number of calls that upstreams ran.
 	N int
-	// Failed is how many of them they failed.
+	// Failed is the number of them that failed.
 	Failed int
-	// Timed is how many of them tell how long they take, Slow how many took several
-	// times as long as usual.
+	// Timed is the number of them with a usable latency, Slow the number of those that
+	// took much longer than the route's typical latency.
 	Timed int
 	Slow  int
 }
 
-func (c Count) plus(o Count) Count {
+func (c Count) add(o Count) Count {
 	return Count{N: c.N + o.N, Failed: c.Failed + o.Failed, Timed: c.Timed + o.Timed, Slow: c.Slow + o.Slow}
 }
 
-// valid reports whether the numbers can be counts.
+// valid reports whether the numbers are consistent with each other.
 func (c Count) valid() bool {
 	return c.N >= 0 && c.Failed >= 0 && c.Failed <= c.N && c.Timed >= 0 && c.Timed <= c.N && c.Slow >= 0 && c.Slow <= c.Timed
 }
 
-// Cell names what is counted apart.
+// Cell identifies calls that are counted together.
 type Cell struct {
-	// Route is the hash of a route's name; zero: all those that are not counted apart.
+	// Route is the hash of the route's name. Zero stands for all routes that are not
+	// counted separately.
 	Route uint32
-	// Upstream is the hash of a tried upstream's ID; zero: all others of the version.
+	// Upstream is the hash of a canary's ID. Zero stands for all upstreams that are not
+	// canaries.
 	Upstream uint32
-	// Target says that it is of the new version.
+	// Target is set for calls to the new version.
 	Target bool
-	// Moved says that all calls went to the new version: there is nothing to compare
-	// them with at the same time.
+	// Moved is set for calls made when all calls went to the new version, so that there
+	// are no calls to other versions at the same time to compare with.
 	Moved bool
 }
 
-// Hash returns the name of a route or of an upstream in a cell.
+// Hash returns the hash that identifies a route or an upstream in a cell. It is never zero.
 func Hash(name string) uint32 { return max(1, uint32(xxhash.Sum64String(name))) }
 
 // Row is a cell with its count.
@@ -53,15 +55,16 @@
 	Count
 }
 
-// rowFields is how many numbers a row is written as; targetFlag and movedFlag are bits of
-// the third.
+// rowFields is the number of integers in an encoded row; targetFlag and movedFlag are bits
+// of the third of them.
 const (
 	rowFields  = 7
 	targetFlag = 1
 	movedFlag  = 2
 )
 
-// MarshalJSON writes a row as a list of numbers: names would be most of a report.
+// MarshalJSON encodes a row as an array of integers, since field names would take up most of
+// a report.
 func (r Row) MarshalJSON() ([]byte, error) {
 	flags := 0
 	if r.Target {
@@ -73,13 +76,13 @@
 	return json.Marshal([rowFields]int{int(r.Route), int(r.Upstream), flags, r.N, r.Failed, r.Timed, r.Slow})
 }
 
-// UnmarshalJSON reads what MarshalJSON writes.
+// UnmarshalJSON decodes the encoding of MarshalJSON.
 func (r *Row) UnmarshalJSON(b []byte) error {
 	var n []int
 	if err := json.Unmarshal(b, &n); err != nil {
 		return err
 	}
-	if len(n) != rowFields || !isHash(n[0]) || !isHash(n[1]) {
+	if len(n) != rowFields || !isUint32(n[0]) || !isUint32(n[1]) {
 		return errors.Errorf("%s is no row of a tally", b)
 	}
 	*r = Row{
@@ -89,35 +92,35 @@
 	return nil
 }
 
-func isHash(n int) bool { return n >= 0 && n <= math.MaxUint32 }
+func isUint32(n int) bool { return n >= 0 && n <= math.MaxUint32 }
 
 const (
-	// Controls is how many of the next calls of a route to other upstreams are counted
-	// for each to an upstream that is tried: what happens to both at one time and one
-	// place weighs the same in both.
+	// Controls is how many of the next calls of a route to other versions are counted for
+	// each call to the new version. Events that affect both at the same time and daemon
+	// then have the same weight in both counts.
 	Controls = 4
-	// routesApart is how many routes of a service are counted apart.
-	routesApart = 6
-	// maxRows bounds the rows of a report: each route has a cell for each upstream
-	// tried, one for the others of the version, both before and after all calls moved,
-	// and one for the other versions.
-	maxRows = (routesApart + 1) * (2*(Canaries+1) + 1)
+	// maxRoutes is the number of routes of a service that are counted separately.
+	maxRoutes = 6
+	// maxRows bounds the rows of a report: each route has one cell per canary and one for
+	// the other upstreams of the new version, both before and after all calls move, and
+	// one cell for the other versions.
+	maxRows = (maxRoutes + 1) * (2*(Canaries+1) + 1)
 )
 
 // Tally holds counts by cell.
 type Tally map[Cell]Count
 
-// Add adds the counts of another tally.
+// Add adds the counts of rows.
 func (t Tally) Add(rows []Row) {
 	for _, r := range rows {
-		t[r.Cell] = t[r.Cell].plus(r.Count)
+		t[r.Cell] = t[r.Cell].add(r.Count)
 	}
 }
 
-// Rows returns the tally's rows in a fixed order. Where there are too many cells, those of
-// the routes with the fewest calls are counted together.
+// Rows returns the tally's rows in a fixed order. If there are too many routes, those with
+// the fewest calls are counted together.
 func (t Tally) Rows() []Row {
-	t = t.bounded()
+	t = t.limitRoutes()
 	rows := make([]Row, 0, len(t))
 	for cell, n := range t {
 		rows = append(rows, Row{cell, n})
@@ -127,25 +130,25 @@
 }
 
 func compareCells(a, b Cell) int {
-	order := func(x bool) int {
+	boolOrder := func(x bool) int {
 		if x {
 			return 1
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(order(a.Target), order(b.Target)),
-		cmp.Compare(order(a.Moved), order(b.Moved)), cmp.Compare(a.Upstream, b.Upstream))
+	return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(boolOrder(a.Target), boolOrder(b.Target)),
+		cmp.Compare(boolOrder(a.Moved), boolOrder(b.Moved)), cmp.Compare(a.Upstream, b.Upstream))
 }
 
-// bounded returns the tally with at most routesApart routes apart.
-func (t Tally) bounded() Tally {
+// limitRoutes returns the tally with at most maxRoutes routes counted separately.
+func (t Tally) limitRoutes() Tally {
 	calls := map[uint32]int{}
 	for cell, n := range t {
 		if cell.Route != 0 {
 			calls[cell.Route] += n.N
 		}
 	}
-	if len(calls) <= routesApart {
+	if len(calls) <= maxRoutes {
 		return t
 	}
 	routes := make([]uint32, 0, len(calls))
@@ -157,25 +160,25 @@
 	})
 	out := Tally{}
 	for cell, n := range t {
-		if slices.Contains(routes[routesApart:], cell.Route) {
+		if slices.Contains(routes[maxRoutes:], cell.Route) {
 			cell.Route = 0
 		}
-		out[cell] = out[cell].plus(n)
+		out[cell] = out[cell].add(n)
 	}
 	return out
 }
 
-// ValidRows reports whether rows of another daemon can be a tally.
+// ValidRows reports whether rows received from another daemon can be those of a tally.
 func ValidRows(rows []Row) bool {
 	return len(rows) <= maxRows && !slices.ContainsFunc(rows, func(r Row) bool { return !r.Count.valid() })
 }
 
-// Sum returns the counts of the new version, or of the others.
+// Sum returns the counts of the new version if target is set, else those of the others.
 func (t Tally) Sum(target bool) Count {
 	var sum Count
 	for cell, n := range t {
 		if cell.Target == target {
-			sum = sum.plus(n)
+			sum = sum.add(n)
 		}
 	}
 	return sum
--- a/internal/rollout/tally_test.go
+++ b/internal/rollout/tally_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRowsSurviveTheWay writes and reads any row.
-func TestRowsSurviveTheWay(t *testing.T) {
+// TestRowRoundTripsThroughJSON encodes and decodes random rows.
+func TestRowRoundTripsThroughJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := func(name string) int { return rapid.IntRange(0, 1<<40).Draw(t, name) }
 		row := Row{
@@ -22,12 +22,12 @@
 		}
 		var back Row
 		if err := json.Unmarshal(b, &back); err != nil || back != row {
-			t.Fatalf("%s: %+v, %v", b, back, err)
+			t.Fatalf("row does not survive encoding: %s decoded as %+v, error %v", b, back, err)
 		}
 	})
 }
 
-func TestForeignRowsAreNone(t *testing.T) {
+func TestUnmarshalRefusesInvalidRows(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{`{}`, `[]`, `[1,2,3]`, `[-1,0,0,0,0,0,0]`, `[5000000000,0,0,0,0,0,0]`, `[1,1,1,"x",0,0,0]`, `[1,1,1,1,1,1,1,1]`, `[1.5,1,1,1,1,1,1]`} {
 		var r Row
