--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -1,45 +1,46 @@
-// Package freshness decides how old a configuration may be to serve calls that a later one
-// may have forbidden. All times are boot times of this VM: they go on while it is
-// suspended, and no other VM's clock is trusted.
+// Package freshness decides whether a configuration is recent enough to serve calls that a
+// newer one may forbid. All times are measured since this VM's boot, by a clock that
+// continues while the VM is suspended; the clocks of other VMs are not trusted.
 package freshness
 
 import "time"
 
-// Stamp is when the configuration held was the newest for sure. Zero: that was never so.
+// Stamp is the last time at which the configuration held was certainly the newest. Zero
+// means never.
 type Stamp time.Duration
 
-// Fresh reports whether the configuration may still serve such calls now. Bound is how
-// long after a version was accepted it must be obeyed everywhere; zero: there is no such
-// bound. A version that was accepted before the stamp is held; one that was accepted after
-// it binds only once the bound has passed since.
+// Fresh reports whether the configuration may still serve such calls now. bound is the time
+// after which an accepted version must be obeyed by all daemons; zero means that there is no
+// such bound. This is safe because the configuration includes all versions accepted before
+// the timestamp, and one accepted after it need not be obeyed until the bound has passed.
 func (s Stamp) Fresh(now, bound time.Duration) bool {
 	return bound == 0 || s > 0 && now-time.Duration(s) < bound
 }
 
-// Age returns how long ago the stamp was taken.
+// Age returns the time since the timestamp.
 func (s Stamp) Age(now time.Duration) time.Duration { return now - time.Duration(s) }
 
-// Heard returns the stamp that another VM has passed on, which said that it was so old when
-// it knew of a message that was sent from here at the time sent. The whole way there and
-// back counts as age.
+// Heard returns the timestamp for a confirmation from another VM: its configuration had the
+// given age when it had received the message that was sent from here at the time sent. The
+// whole round trip is added to the age, since the clocks of the two VMs cannot be compared.
 func Heard(sent, age time.Duration) Stamp { return Stamp(max(0, sent-age)) }
 
-// remembered is how many numbered messages back an echo can be placed: two seconds of them
-// at eight a second, when a connection that is silent for so long has been given up.
-const remembered = 16
+// echoWindow is the number of messages whose send times are kept: two seconds' worth at
+// eight messages a second. A connection that is silent for longer than that is closed.
+const echoWindow = 16
 
-// Echoes remembers when the last numbered messages of a connection were sent.
+// Echoes keeps the send times of the last numbered messages on a connection.
 type Echoes struct {
-	seq [remembered]uint64
-	at  [remembered]time.Duration
+	seq [echoWindow]uint64
+	at  [echoWindow]time.Duration
 }
 
-// Sent takes note of a message. Numbers begin at one.
+// Sent records that the message with the given number was sent. Numbers begin at one.
 func (e *Echoes) Sent(seq uint64, now time.Duration) {
-	e.seq[seq%remembered], e.at[seq%remembered] = seq, now
+	e.seq[seq%echoWindow], e.at[seq%echoWindow] = seq, now
 }
 
-// At returns when a message was sent. False: that is not known any more.
+// At returns when a message was sent, or false if that is not known, or not any more.
 func (e *Echoes) At(seq uint64) (time.Duration, bool) {
-	return e.at[seq%remembered], seq > 0 && e.seq[seq%remembered] == seq
+	return e.at[seq%echoWindow], seq > 0 && e.seq[seq%echoWindow] == seq
 }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -10,18 +10,18 @@
 	"github.com/comfreygate/comfreygate/internal/freshness"
 )
 
-func TestStampsAreFreshForTheBound(t *testing.T) {
+func TestStampIsFreshWithinBound(t *testing.T) {
 	is := is.New(t)
 	const bound = 5 * time.Second
 	s := freshness.Stamp(10 * time.Second)
 	is.True(s.Fresh(14*time.Second, bound))
 	is.True(!s.Fresh(15*time.Second, bound))
-	is.True(!freshness.Stamp(0).Fresh(time.Second, bound)) // never known
+	is.True(!freshness.Stamp(0).Fresh(time.Second, bound)) // never known to be the newest
 	is.True(freshness.Stamp(0).Fresh(time.Hour, 0))        // no bound
 	is.Equal(freshness.Heard(time.Second, time.Hour), freshness.Stamp(0))
 }
 
-func TestEchoesOfLongAgoTellNothing(t *testing.T) {
+func TestEchoesForgetOldMessages(t *testing.T) {
 	is := is.New(t)
 	var e freshness.Echoes
 	_, ok := e.At(0)
@@ -38,8 +38,8 @@
 	is.True(!ok) // too long ago
 }
 
-// A daemon hears from its parent how old the parent's word was when the daemon's third
-// ping had come.
+// A daemon's parent confirms the age that its configuration had when it had received the
+// daemon's third ping.
 func Example() {
 	var pings freshness.Echoes
 	pings.Sent(3, 20*time.Second)
