--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -10,7 +10,7 @@
 type Evidence struct {
 	mu    sync.Mutex
 	tally Tally
-	// controlsDue is how many more calls to other versions are to be counted.
+	// controlsDue is the number of calls to other versions that are still to be counted.
 	controlsDue map[controlKey]int
 	// typicalLatency is the moving average of how long other versions take to answer, by
 	// the hash of the route.
@@ -33,13 +33,13 @@
 	// slowFactor is the multiple of the typical latency above which an answer is slow:
 	// more than a busy upstream takes, less than one that is several times slower.
 	slowFactor = 2.5
-	// slowMargin is how much longer than the typical latency a slow answer also takes:
-	// an upstream that gets few calls needs a new connection for many of them.
+	// slowMargin is the least time by which a slow answer exceeds the typical latency: an
+	// upstream that gets few calls needs a new connection for many of them.
 	slowMargin = 2 * time.Millisecond
 	// latencyWeight is the weight of the newest answer in the average.
 	latencyWeight = 0.05
-	// maxCells bounds the cells of a tally and the routes with a typical latency. Calls
-	// that would need further ones are not counted.
+	// maxCells bounds the cells of the tally and the routes with a typical latency.
+	// Further cells are not counted.
 	maxCells = 4096
 )
 
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -94,13 +94,13 @@
 // AtOnce returns the number of canaries that get calls at the same time: as few as can take
 // the largest share at the load of an upstream of another version, so that they are tested
 // under that load.
-func (p Plan) AtOnce(chosen, others int) int {
-	return min(chosen, max(1, int(math.Ceil(loadShare*p.Exposure*float64(others)))))
+func (p Plan) AtOnce(canaries, others int) int {
+	return min(canaries, max(1, int(math.Ceil(loadShare*p.Exposure*float64(others)))))
 }
 
 // Turn returns the index of the first active canary at the given time after the order. If
 // fewer than all canaries are active, they take turns.
-func (p Plan) Turn(elapsed time.Duration, chosen int) int {
-	step := float64(chosen) * float64(elapsed) / ((loadUntil - initialUntil) * float64(p.Duration))
-	return int(step) % max(1, chosen)
+func (p Plan) Turn(elapsed time.Duration, canaries int) int {
+	step := float64(canaries) * float64(elapsed) / ((loadUntil - initialUntil) * float64(p.Duration))
+	return int(step) % max(1, canaries)
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -80,7 +80,7 @@
 		for i := range target {
 			target[i] = fmt.Sprint("u", i)
 		}
-		chosen := p.Choose(target, others)
+		canaries := p.Choose(target, others)
 		const steps = 1000
 		exposed := 0.0
 		for i := range steps {
@@ -88,7 +88,7 @@
 			if at >= p.MoveAt() {
 				break
 			}
-			active := p.AtOnce(len(chosen), others)
+			active := p.AtOnce(len(canaries), others)
 			share := p.Share(at, active, others)
 			exposed += share / steps
 			if each := share / float64(active); each > 1/float64(others)+1e-9 {
@@ -184,7 +184,7 @@
 	for i := range ids {
 		ids[i] = fmt.Sprint("u", i)
 	}
-	tried := p.Choose(ids, s.others)
+	canaries := p.Choose(ids, s.others)
 	randomFault := func() fault {
 		if rng.Float64() >= s.faultyFraction {
 			return fault{}
@@ -198,7 +198,7 @@
 		}
 		return f
 	}
-	canaryFaults, otherFaults := make([]fault, len(tried)), make([]fault, s.others)
+	canaryFaults, otherFaults := make([]fault, len(canaries)), make([]fault, s.others)
 	for i := range canaryFaults {
 		canaryFaults[i] = randomFault()
 	}
@@ -215,10 +215,10 @@
 		progress := float64(at) / float64(s.duration)
 		stepTally := Tally{}
 		share = 1
-		active := tried
+		active := canaries
 		if at < p.MoveAt() {
-			first, n := p.Turn(at, len(tried)), p.AtOnce(len(tried), s.others)
-			active = slices.Concat(tried, tried)[first : first+n]
+			first, n := p.Turn(at, len(canaries)), p.AtOnce(len(canaries), s.others)
+			active = slices.Concat(canaries, canaries)[first : first+n]
 			share = p.Share(at, n, s.others)
 		}
 		callsPerStep := int(s.rate * step.Seconds())
@@ -235,9 +235,9 @@
 			var f fault
 			if rng.Float64() < share {
 				exposed++
-				i := slices.Index(tried, active[rng.IntN(len(active))])
+				i := slices.Index(canaries, active[rng.IntN(len(active))])
 				f = canaryFaults[i]
-				cell.Target, cell.Upstream, cell.Moved = true, Hash(tried[i]), at >= p.MoveAt()
+				cell.Target, cell.Upstream, cell.Moved = true, Hash(canaries[i]), at >= p.MoveAt()
 				controls[route] += Controls
 				load := share / float64(len(active)) * float64(s.others)
 				if progress >= s.bad.from && load >= s.bad.load && (s.bad.route < 0 || s.bad.route == route) && rng.Float64() < s.bad.probability {
@@ -275,7 +275,7 @@
 		if old := len(pending) - 1 - int(reactionDelay/step); old >= 0 {
 			tally.Add(pending[old].Rows())
 		}
-		if why := judge(tally, len(tried)); why != "" {
+		if why := judge(tally, len(canaries)); why != "" {
 			// Calls go on without the new version until the deadline.
 			return result{true, float64(exposed) / (s.rate * s.duration.Seconds()), why}
 		}
--- a/internal/table/member.go
+++ b/internal/table/member.go
@@ -16,8 +16,9 @@
 	wire.Member
 	// Heard is when the member's last renewal arrived here.
 	Heard time.Time
-	// Lapsed is set if the member did not renew its record in time. It is then ignored,
-	// but the row is kept, so that an old copy of the record cannot restore the member.
+	// Lapsed is set if the member did not renew its record in time, or was displaced at
+	// its address. It is then ignored, but the row is kept, so that an old copy of the
+	// record cannot restore the member.
 	Lapsed bool
 	// Floor is the highest version that the member has reported as applied, over all of
 	// its incarnations.
--- a/internal/view/split.go
+++ b/internal/view/split.go
@@ -13,7 +13,7 @@
 )
 
 // Split divides a service's calls between the version that is rolled out and the others.
-// Calls for which neither Trial nor Fallback returns upstreams go to the service's own list.
+// The service's own list holds the upstreams for the calls that Trial does not take.
 type Split struct {
 	target      string
 	plan        rollout.Plan
@@ -44,12 +44,12 @@
 		return nil
 	}
 	elapsed := now.Sub(s.since)
-	first := s.windows[s.plan.Turn(max(0, elapsed), len(s.windows))]
+	active := s.windows[s.plan.Turn(max(0, elapsed), len(s.windows))]
 	_, fraction := math.Modf(float64(s.counter.Add(1)) * goldenRatioFraction)
-	if fraction >= s.plan.Share(elapsed, len(first.Upstreams), s.others) {
+	if fraction >= s.plan.Share(elapsed, len(active.Upstreams), s.others) {
 		return nil
 	}
-	return first
+	return active
 }
 
 // Fallback returns the upstreams of the other versions while calls that find no capacity at
@@ -121,8 +121,8 @@
 // covers: only the first step, in which the version gets a small share of the calls.
 const probationFraction = 0.4
 
-// probation returns the rollout by which a version is tried that has just appeared without
-// an order.
+// probation returns a rollout for a version that has just appeared without an order. It lets
+// the version be tried for as long as an order for it may take to arrive.
 func probation(w *table.World, service, version string) *table.Rollout {
 	duration := time.Duration(float64(w.Params.InForce) / probationFraction)
 	return &table.Rollout{
--- a/internal/view/split_test.go
+++ b/internal/view/split_test.go
@@ -57,10 +57,10 @@
 	s := Build(w, nil).Services["s"]
 	is.Equal(countVersions(s.Upstreams), map[string]int{"v1": 20})
 	const calls = 10_000
-	tried, seen := 0, map[string]bool{}
+	trialCalls, seen := 0, map[string]bool{}
 	for range calls {
 		if trial := s.Split.Trial(now); trial != nil {
-			tried++
+			trialCalls++
 			is.Equal(countVersions(trial.Upstreams)["v1"], 0)
 			for _, u := range trial.Upstreams {
 				seen[u.ID] = true
@@ -68,8 +68,8 @@
 		}
 	}
 	want := w.Plan(10*time.Second).Share(0, len(seen), 20)
-	t.Logf("%d of %d calls, to %d upstreams", tried, calls, len(seen))
-	is.True(math.Abs(float64(tried)/calls-want) < 0.002)
+	t.Logf("%d of %d calls, to %d upstreams", trialCalls, calls, len(seen))
+	is.True(math.Abs(float64(trialCalls)/calls-want) < 0.002)
 	is.True(len(seen) <= rollout.Canaries)
 }
 
