--- a/internal/system/config.go
+++ b/internal/system/config.go
@@ -86,9 +86,9 @@
 func sendSnapshot(w *table.World, now time.Time, l *table.Link, out *Outbox) {
 	c := &w.Config
 	gap := time.Second / time.Duration(w.Params.SnapshotsPerSecond)
-	// SnapshotNext is when the next snapshot may be sent. It never falls more than a
-	// second behind now, so that at most one second's worth of snapshots is sent in a
-	// burst.
+	// SnapshotNext is the next send slot. Unused slots expire after a second, so that a
+	// burst has at most one second's worth of snapshots. A refused pull takes a slot too:
+	// its retry-after time is when that slot is due.
 	c.SnapshotNext = later(c.SnapshotNext, now.Add(-time.Second)).Add(gap)
 	if wait := c.SnapshotNext.Sub(now); wait > 0 {
 		out.send(l.ID, wire.Busy{RetryAfterMs: wait.Milliseconds() + 1})
@@ -145,7 +145,8 @@
 	adopt(w, now, next, out)
 }
 
-// adopt replaces the whole state, unless the new one is older.
+// adopt replaces the whole state, unless the new one is no later, and reports whether it
+// did.
 func adopt(w *table.World, now time.Time, next *config.State, out *Outbox) bool {
 	s := w.Config.State
 	older := next.Base < s.Base || (next.Base == s.Base && next.Position <= s.Position)
--- a/internal/system/document.go
+++ b/internal/system/document.go
@@ -32,7 +32,7 @@
 	// firstRootWaitFraction is how long the first root of a failure domain waits at the
 	// store for a document, as a fraction of the time within which a change must be in
 	// force. The store may fail to wake a waiting reader: a missed change is then found
-	// after this time, and the remainder is left for distributing it over narrow links.
+	// within this time, and the remainder is left for distributing it over narrow links.
 	firstRootWaitFraction = 0.45
 	// otherRootWaitFraction is the same for the other roots, which receive changes from
 	// the first one. If they lose the first root, a read that is already waiting must end
--- a/internal/system/freshness.go
+++ b/internal/system/freshness.go
@@ -12,17 +12,17 @@
 
 // A revoked key must not admit calls after a time bound, also at daemons that are
 // partitioned from the store. Every daemon must therefore know the freshness of its
-// configuration: until when it was known to be the newest. A daemon that reads the store
-// learns this with each answer, as of the time of the request, and sends it on along all
-// connections. The latest timestamp counts, whichever path it came by.
+// configuration: the last time at which it was known to be the newest. A daemon that
+// reads the store learns this with each answer, as of the time of the request, and sends
+// it on along all connections. The latest timestamp counts, whichever path it came by.
 
 const (
 	// minTimestampAdvance is by how much the timestamp must have advanced since the last
 	// one sent on a connection for it to be sent again.
 	minTimestampAdvance = 100 * time.Millisecond
 	// readsPerRevocationBound is the number of reads of the store within the revocation
-	// bound. The age of what all other daemons are told is at most twice the time between
-	// two reads.
+	// bound. The timestamp that all other daemons receive is at most twice the time
+	// between two reads old.
 	readsPerRevocationBound = 10
 )
 
--- a/internal/system/seek.go
+++ b/internal/system/seek.go
@@ -14,11 +14,11 @@
 	seedRetry = time.Second
 	// findFirst is the initial interval at which the log is read again for addresses,
 	// after the first connection. Daemons that started at the same time have published
-	// theirs by then.
+	// their addresses by then.
 	findFirst = 2 * time.Second
-	// settleGraces is the number of grace times after its start during which a daemon
-	// does not probe seeds that no member is known for. While the whole fleet starts, the
-	// seeds are busy.
+	// settleGraces is the number of grace times after its start that a daemon waits
+	// before it probes seeds that it does not know as members. While the whole fleet
+	// starts, the seeds are busy.
 	settleGraces = 2
 	// maxFindInterval bounds the interval at which the log is read for addresses while
 	// other daemons are known.
@@ -86,7 +86,7 @@
 		return
 	}
 	if len(w.Seeds) > 0 && now.Sub(w.Started) < seedRetry {
-		return // try the seeds from the settings first: at a start of the whole fleet they suffice
+		return // the seeds from the settings come first: at a start of the whole fleet they suffice
 	}
 	if len(w.Links) > 0 && w.MembersTree.Rank >= w.Params.Roots {
 		return // each partition has a root that looks for the others
--- a/internal/system/topology.go
+++ b/internal/system/topology.go
@@ -31,10 +31,9 @@
 // a second.
 const wideLinkMbps = 50
 
-// narrowness ranks a link: 0 for wide links, otherwise 1 plus the number of times its
-// capacity would have to be doubled to count as wide, rounded down. A relay on a narrow
-// link takes as long to send each copy of a document as to read it, so daemons below it
-// would receive changes too late.
+// narrowness ranks a link: 0 for wide links, 1 for narrower ones, and one more each time
+// that the capacity halves again. A relay on a narrow link takes as long to send each
+// copy of a document as to read it, so daemons below it would receive changes too late.
 func narrowness(m wire.Member) int {
 	if m.LinkMbps == 0 || m.LinkMbps >= wideLinkMbps {
 		return 0
@@ -89,8 +88,8 @@
 		return cmp.Or(cmp.Compare(a.narrowness, b.narrowness), cmp.Compare(a.hash, b.hash), cmp.Compare(members[a.index].ID, members[b.index].ID))
 	})
 	list := make([]wire.Member, len(members))
-	for i, p := range keys {
-		list[i] = members[p.index]
+	for i, key := range keys {
+		list[i] = members[key.index]
 	}
 	return list
 }
@@ -306,7 +305,7 @@
 	}
 }
 
-// drop closes a connection that is no longer needed. It is not reported as lost, and the
+// drop closes a connection that has not failed: it is not reported as lost, and its
 // address gets no backoff.
 func drop(w *table.World, l *table.Link, out *Outbox) {
 	delete(w.Links, l.ID)
