--- a/internal/callpath/ended.go
+++ b/internal/callpath/ended.go
@@ -12,52 +12,55 @@
 )
 
 const (
-	// endedAsk bounds the look whether an upstream is still there: a connection on
-	// the same VM is open or refused within a millisecond.
-	endedAsk = 100 * time.Millisecond
-	// endedTogether is within which attempts that broke at an upstream broke with the
-	// same end of it: its connections all close at once, and no process is back so soon.
-	endedTogether = 100 * time.Millisecond
+	// crashProbeTimeout limits the check whether an upstream's process still accepts
+	// connections: on the same VM a connection is opened or refused within a millisecond.
+	crashProbeTimeout = 100 * time.Millisecond
+	// crashGroupWindow is the time after a detected crash within which further broken
+	// attempts are counted to the same crash: all connections of a process close at once,
+	// and no process restarts this fast.
+	crashGroupWindow = 100 * time.Millisecond
 )
 
-// ending tells an upstream's process that has ended from a connection that broke.
-// Safe for concurrent use.
-type ending struct {
-	mu   sync.Mutex
-	at   time.Time
-	last end
+// crashDetector distinguishes a crash of an upstream's process from a broken connection.
+// It is safe for concurrent use.
+type crashDetector struct {
+	mu         sync.Mutex
+	detectedAt time.Time
+	last       crash
 }
 
-// end is one end of an upstream.
-type end struct {
-	// n counts the upstream's ends; zero: it is there.
+// crash identifies one crash of an upstream.
+type crash struct {
+	// n is the number of the crash at this upstream, from 1; zero means that it has not
+	// crashed.
 	n uint64
-	// culprit is the request that it is put down to; zero: no particular one.
+	// culprit is the request to which the crash is attributed; zero if to none.
 	culprit suspect.Digest
 }
 
-// seen looks whether the upstream has ended, and returns which of its ends that is. The
-// first who sees it is told so, and culprit gives the request that it is put down to.
-func (e *ending) seen(ctx context.Context, p *pool, now func() time.Time, culprit func() suspect.Digest) (last end, first bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.last.n > 0 && now().Sub(e.at) < endedTogether {
-		return e.last, false
+// detect checks whether the upstream crashed and returns that crash, or the zero value if
+// it did not. first is true only for the call that detects a new crash; that call uses
+// the function culprit to attribute it to a request.
+func (d *crashDetector) detect(ctx context.Context, p *pool, now func() time.Time, culprit func() suspect.Digest) (last crash, first bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.last.n > 0 && now().Sub(d.detectedAt) < crashGroupWindow {
+		return d.last, false
 	}
-	// Whether the attempt itself has time left tells nothing of the upstream.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endedAsk)
+	// The check must also work after the attempt's own deadline has passed.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), crashProbeTimeout)
 	defer cancel()
-	if !p.refused(ctx) {
-		return end{}, false
+	if !p.refusesConnections(ctx) {
+		return crash{}, false
 	}
-	e.at = now()
-	e.last = end{n: e.last.n + 1, culprit: culprit()}
-	return e.last, true
+	d.detectedAt = now()
+	d.last = crash{n: d.last.n + 1, culprit: culprit()}
+	return d.last, true
 }
 
-// refused reports whether nobody takes connections at the address any more. One idle
-// connection that is still open tells that somebody does, at no cost.
-func (p *pool) refused(ctx context.Context) bool {
+// refusesConnections reports whether connections to the address are refused. An idle
+// connection that is still open shows at no cost that the process is running.
+func (p *pool) refusesConnections(ctx context.Context) bool {
 	c, err := p.get(ctx)
 	if err == nil {
 		p.put(c)
--- a/internal/callpath/ended_test.go
+++ b/internal/callpath/ended_test.go
@@ -10,10 +10,11 @@
 	"github.com/comfreygate/comfreygate/internal/outcome"
 )
 
-// TestAnEndIsToldFromABrokenConnection breaks one connection of an upstream that is
-// there, and then ends it with calls in flight: an operator reads from the reason which
-// of the two it was, and the end counts once.
-func TestAnEndIsToldFromABrokenConnection(t *testing.T) {
+// TestCrashIsDistinguishedFromBrokenConnection breaks one connection of a running
+// upstream, and then crashes the upstream with calls in flight. The reason in the answers
+// must tell the two apart, and the crash must be counted once, however many calls it
+// breaks.
+func TestCrashIsDistinguishedFromBrokenConnection(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 1, 8, time.Second)
 	w := r.workers[0]
@@ -30,22 +31,22 @@
 		res.Body.Close()
 		reasons <- res.Header.Get(HeaderReason)
 	}
-	running := func(n int64) {
+	waitForRunning := func(n int64) {
 		for w.now.Load() != n {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	go send()
-	running(1)
+	waitForRunning(1)
 	w.up.CloseClientConnections()
 	is.Equal(<-reasons, string(outcome.ReasonBroken))
 	is.Equal(r.metrics.Ends.Count(), int64(0))
-	running(0)
+	waitForRunning(0)
 	const n = 4
 	for range n {
 		go send()
 	}
-	running(n)
+	waitForRunning(n)
 	is.NoErr(w.up.Listener.Close())
 	w.up.CloseClientConnections()
 	for range n {
--- a/internal/callpath/fleet_ends_test.go
+++ b/internal/callpath/fleet_ends_test.go
@@ -17,28 +17,28 @@
 // What was seen of a request that ends upstreams: it ran for 50 ms first, and the upstream
 // was back after 3.3 s.
 const (
-	simDeadlyAfter = 50 * time.Millisecond
-	simBackAfter   = 3300 * time.Millisecond
-	// simSpread is how long news of suspects take to all daemons: twice what the last of
+	simCrashDelay  = 50 * time.Millisecond
+	simRestartTime = 3300 * time.Millisecond
+	// simPropagationDelay is how long news of suspects take to all daemons: twice what the last of
 	// 93 needs over real sockets.
-	simSpread = 20 * time.Millisecond
-	// simPopular is the part of the calls of a kind that ask for one and the same thing.
-	simPopular = 0.05
+	simPropagationDelay = 20 * time.Millisecond
+	// simPopularShare is the part of the calls of a kind that ask for one and the same thing.
+	simPopularShare = 0.05
 )
 
 // simUpstream is what a VM knows of suspects, and its upstream's runs.
 type simUpstream struct {
-	suspects *suspect.Table
-	owner    *Owner
-	local    *local
-	down     bool
-	ends     uint64
-	runs     map[int]*simRun
+	suspects   *suspect.Table
+	owner      *Owner
+	local      *local
+	down       bool
+	crashCount uint64
+	runs       map[int]*simRun
 }
 
 type simRun struct {
 	attempt *Attempt
-	broken  func()
+	onCrash func()
 }
 
 func newSimUpstream(clock func() time.Time) simUpstream {
@@ -46,36 +46,36 @@
 	return simUpstream{suspects: t, owner: &Owner{cfg: OwnerConfig{Suspects: t, Now: clock}, recent: suspect.NewRecent(clock)}, local: &local{}, runs: map[int]*simRun{}}
 }
 
-// simEnds counts what became of calls around ends.
-type simEnds struct {
-	// at are the ends of upstreams; under and runs are, by the path of a deadly request,
+// simCrashes counts what became of calls around ends.
+type simCrashes struct {
+	// times are the ends of upstreams; under and runs are, by the path of a deadly request,
 	// the ends under it and its runs. All by time.
-	at    []time.Time
-	under map[string][]time.Time
-	runs  map[string][]time.Time
-	// innocent counts the calls refused as quarantined that end nothing.
-	innocent int
-	paths    int
+	times         []time.Time
+	crashesByPath map[string][]time.Time
+	runsByPath    map[string][]time.Time
+	// wronglyRefused counts the calls refused as quarantined that end nothing.
+	wronglyRefused int
+	requests       int
 }
 
-func (e *simEnds) note(k *simKind, r outcome.Result) {
-	if r.Reason == outcome.ReasonQuarantined && !k.deadly {
-		e.innocent++
+func (e *simCrashes) recordResult(k *simKind, r outcome.Result) {
+	if r.Reason == outcome.ReasonQuarantined && !k.poison {
+		e.wronglyRefused++
 	}
 }
 
-// pathOf returns the path of a new request of a kind.
-func (s *fleetSim) pathOf(k *simKind) string {
-	s.ends.paths++
-	if k.deadly || s.ends.paths%int(1/simPopular) == 0 {
+// newPath returns the path of a new request of a kind.
+func (s *fleetSim) newPath(k *simKind) string {
+	s.crashes.requests++
+	if k.poison || s.crashes.requests%int(1/simPopularShare) == 0 {
 		return "/" + k.route.Name
 	}
-	return fmt.Sprintf("/%s/%d", k.route.Name, s.ends.paths)
+	return fmt.Sprintf("/%s/%d", k.route.Name, s.crashes.requests)
 }
 
-// mayEnter says why an attempt cannot enter a gate, or nothing. It brings what its
+// refusalOnArrival says why an attempt cannot enter a gate, or nothing. It brings what its
 // sender knows.
-func (s *fleetSim) mayEnter(from, to *simVM, c *call) outcome.Reason {
+func (s *fleetSim) refusalOnArrival(from, to *simVM, c *call) outcome.Reason {
 	if to.down {
 		return outcome.ReasonUnreachable
 	}
@@ -91,80 +91,80 @@
 	return ""
 }
 
-// enter lets an attempt with a slot run; broken follows if the upstream ends under it,
+// startRun lets an attempt with a slot run; broken follows if the upstream ends under it,
 // else leave must. With a reason it is held back.
-func (s *fleetSim) enter(vm *simVM, k *simKind, c *call, broken func()) (leave func(status int), heldBack outcome.Reason) {
+func (s *fleetSim) startRun(vm *simVM, k *simKind, c *call, onCrash func()) (finish func(status int), refusal outcome.Reason) {
 	a := c.attempt
 	a.Upstream = vm.id
-	if refusal := vm.owner.heldBack(vm.local, &a); refusal.Reason != "" {
+	if refusal := vm.owner.checkSuspect(vm.local, &a); refusal.Reason != "" {
 		return nil, refusal.Reason
 	}
-	if k.deadly {
-		s.ends.runs[c.attempt.URL.Path] = append(s.ends.runs[c.attempt.URL.Path], s.now)
-		s.after(simDeadlyAfter, func() {
+	if k.poison {
+		s.crashes.runsByPath[c.attempt.URL.Path] = append(s.crashes.runsByPath[c.attempt.URL.Path], s.now)
+		s.after(simCrashDelay, func() {
 			if !vm.down {
-				s.ends.under[a.URL.Path] = append(s.ends.under[a.URL.Path], s.now)
-				s.endUpstream(vm)
+				s.crashes.crashesByPath[a.URL.Path] = append(s.crashes.crashesByPath[a.URL.Path], s.now)
+				s.crashUpstream(vm)
 			}
 		})
 	}
 	s.seq++
 	id := s.seq
-	vm.runs[id] = &simRun{attempt: &a, broken: broken}
+	vm.runs[id] = &simRun{attempt: &a, onCrash: onCrash}
 	return func(status int) {
 		delete(vm.runs, id)
-		vm.local.runs.leave(&a)
-		vm.owner.answered(&a, status)
-		s.spread(vm)
+		vm.local.attempts.remove(&a)
+		vm.owner.recordAnswer(&a, status)
+		s.propagate(vm)
 	}, ""
 }
 
-// endUpstream ends the upstream of a VM under all that it runs.
-func (s *fleetSim) endUpstream(vm *simVM) {
+// crashUpstream ends the upstream of a VM under all that it runs.
+func (s *fleetSim) crashUpstream(vm *simVM) {
 	if vm.down {
 		return
 	}
 	vm.down = true
-	vm.simUpstream.ends++
-	s.ends.at = append(s.ends.at, s.now)
+	vm.simUpstream.crashCount++
+	s.crashes.times = append(s.crashes.times, s.now)
 	var runs []*simRun
 	for _, id := range slices.Sorted(maps.Keys(vm.runs)) {
 		runs = append(runs, vm.runs[id])
 	}
 	clear(vm.runs)
-	e := end{n: vm.simUpstream.ends, culprit: vm.local.runs.culprit(vm.suspects)}
+	c := crash{n: vm.simUpstream.crashCount, culprit: vm.local.attempts.culprit(vm.suspects)}
 	for _, r := range runs {
-		vm.local.runs.leave(r.attempt)
-		vm.owner.charge(r.attempt, e)
+		vm.local.attempts.remove(r.attempt)
+		vm.owner.recordCrash(r.attempt, c)
 	}
 	for _, r := range runs {
-		r.broken()
+		r.onCrash()
 	}
-	s.settle(vm)
-	s.spread(vm)
-	s.after(simBackAfter, func() { vm.down = false })
+	s.deliverDecisions(vm)
+	s.propagate(vm)
+	s.after(simRestartTime, func() { vm.down = false })
 }
 
-// spread lets all others know, a little later, what has changed at a VM.
-func (s *fleetSim) spread(vm *simVM) {
+// propagate lets all others know, a little later, what has changed at a VM.
+func (s *fleetSim) propagate(vm *simVM) {
 	changes := vm.suspects.Changes()
 	if len(changes) == 0 {
 		return
 	}
-	vm.vouch(changes)
-	s.after(simSpread, func() {
+	vm.clearAnswered(changes)
+	s.after(simPropagationDelay, func() {
 		for _, other := range s.vms {
 			for _, c := range changes {
 				other.suspects.Merge(c.Record)
 			}
-			other.vouch(other.suspects.Changes())
-			s.spread(other)
+			other.clearAnswered(other.suspects.Changes())
+			s.propagate(other)
 		}
 	})
 }
 
-// vouch lets a VM's owner vouch for what has just been put in quarantine.
-func (vm *simVM) vouch(changes []suspect.Change) {
+// clearAnswered lets a VM's owner clearAnswered for what has just been put in quarantine.
+func (vm *simVM) clearAnswered(changes []suspect.Change) {
 	for _, c := range changes {
 		if c.Before < suspect.Enough {
 			vm.owner.Vouch(c.Record)
@@ -172,27 +172,27 @@
 	}
 }
 
-// deadly is a request that comes 8 times a second, at any VM of its caller, and again as
+// poisonKind is a request that comes 8 times a second, at any VM of its caller, and again as
 // callers do.
-func deadly(name string, vms int) *simKind {
+func poisonKind(name string, vms int) *simKind {
 	p := config.Policy{Name: name, Urgency: 14, Objective: 300 * time.Millisecond, Timeout: time.Second, Retries: 1, Repeatable: []string{http.MethodGet}}
 	return &simKind{
-		route: &view.Route{Name: name, Policy: p}, service: "large", perVM: 8 / float64(vms), work: time.Hour,
-		deadline: 2 * time.Second, deadly: true,
+		route: &view.Route{Name: name, Policy: p}, service: "large", ratePerVM: 8 / float64(vms), work: time.Hour,
+		deadline: 2 * time.Second, poison: true,
 	}
 }
 
-// playEnds plays a fleet in which upstreams end: under a deadly request, by themselves,
+// runWithCrashes plays a fleet in which upstreams end: under a deadly request, by themselves,
 // or not at all.
-func playEnds(n int, length time.Duration, seed uint64, disturb func(*fleetSim)) *fleetSim {
-	s := newFleetSim(n, banks(0.8), length, seed)
+func runWithCrashes(n int, length time.Duration, seed uint64, disturb func(*fleetSim)) *fleetSim {
+	s := newFleetSim(n, bankLoad(0.8), length, seed)
 	disturb(s)
 	s.run()
 	return s
 }
 
-// withDeadly lets so many deadly requests come from second 3 on.
-func withDeadly(requests int) func(*fleetSim) {
+// withPoisonRequests lets so many deadly requests come from second 3 on.
+func withPoisonRequests(requests int) func(*fleetSim) {
 	return func(s *fleetSim) {
 		var from []*simVM
 		for _, vm := range s.vms {
@@ -201,7 +201,7 @@
 			}
 		}
 		for i := range requests {
-			k := deadly(fmt.Sprintf("deadly-%d", i), len(from))
+			k := poisonKind(fmt.Sprintf("deadly-%d", i), len(from))
 			s.after(3*time.Second, func() {
 				for _, vm := range from {
 					s.arrivals(vm, k)
@@ -211,40 +211,40 @@
 	}
 }
 
-// endsTally is what came of deadly requests.
-type endsTally struct{ ends, runs, late, innocent, calls int }
+// crashTally is what came of deadly requests.
+type crashTally struct{ crashes, runs, lateRuns, wronglyRefused, calls int }
 
-// tallyEnds counts. Late are the runs of a request that began when all could have known of
+// tallyCrashes counts. Late are the runs of a request that began when all could have known of
 // three ends under it; of several requests the one with most counts.
-func (s *fleetSim) tallyEnds() endsTally {
-	const contact = 3 * time.Second
-	t := endsTally{ends: len(s.ends.at), innocent: s.ends.innocent, calls: s.ends.paths}
-	for path, runs := range s.ends.runs {
+func (s *fleetSim) tallyCrashes() crashTally {
+	const propagationTime = 3 * time.Second
+	t := crashTally{crashes: len(s.crashes.times), wronglyRefused: s.crashes.wronglyRefused, calls: s.crashes.requests}
+	for path, runs := range s.crashes.runsByPath {
 		t.runs += len(runs)
 		late := 0
 		for _, at := range runs {
-			if ends := s.ends.under[path]; len(ends) >= suspect.Enough && at.After(ends[suspect.Enough-1].Add(contact)) {
+			if crashes := s.crashes.crashesByPath[path]; len(crashes) >= suspect.Enough && at.After(crashes[suspect.Enough-1].Add(propagationTime)) {
 				late++
 			}
 		}
-		t.late = max(t.late, late)
+		t.lateRuns = max(t.lateRuns, late)
 	}
 	return t
 }
 
-// TestFleetStopsRequestsThatEndUpstreams plays fleets with a request, or two, that end each
+// TestFleetQuarantinesPoisonRequests plays fleets with a request, or two, that end each
 // upstream which runs them, come 8 times a second at any VM, and return. One was seen to
 // end 24 upstreams of 8 within 8 s. They must end few, none once all may know of them, and
 // no other call may be refused for it: those included that run beside them several times,
 // and those of which many copies run at once.
-func TestFleetStopsRequestsThatEndUpstreams(t *testing.T) {
+func TestFleetQuarantinesPoisonRequests(t *testing.T) {
 	const (
-		// moreRuns is how often a request may be run once all could know of it.
-		moreRuns = 3
-		// lost is the part of others' calls that may be refused where two requests end
+		// maxLateRuns is how often a request may be run once all could know of it.
+		maxLateRuns = 3
+		// maxRefusedShare is the part of others' calls that may be refused where two requests end
 		// most of a small fleet within a second, so that the same calls run beside them
 		// again and again.
-		lost = 1.0 / 500
+		maxRefusedShare = 1.0 / 500
 	)
 	for _, tc := range []struct {
 		vms, requests int
@@ -252,71 +252,71 @@
 		seeds         uint64
 	}{{11, 1, 8 * time.Second, 100}, {11, 2, 12 * time.Second, 60}, {95, 1, 20 * time.Second, 4}, {95, 2, 20 * time.Second, 2}, {930, 1, 8 * time.Second, 1}} {
 		t.Run(fmt.Sprintf("%d-vms-%d-requests", tc.vms, tc.requests), func(t *testing.T) {
-			var sum endsTally
+			var sum crashTally
 			for seed := range tc.seeds {
 				t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
-					s := playEnds(tc.vms, tc.length, seed, withDeadly(tc.requests))
-					got := s.tallyEnds()
-					late, innocent := 0, 0
+					s := runWithCrashes(tc.vms, tc.length, seed, withPoisonRequests(tc.requests))
+					got := s.tallyCrashes()
+					lateLimit, refusedLimit := 0, 0
 					if tc.requests > 1 {
-						late, innocent = moreRuns, int(lost*float64(s.ends.paths))
+						lateLimit, refusedLimit = maxLateRuns, int(maxRefusedShare*float64(s.crashes.requests))
 					}
-					if got.ends < suspect.Enough || got.ends > 2*tc.requests*suspect.Enough || got.late > late || got.innocent > innocent {
+					if got.crashes < suspect.Enough || got.crashes > 2*tc.requests*suspect.Enough || got.lateRuns > lateLimit || got.wronglyRefused > refusedLimit {
 						t.Errorf("%+v", got)
 					}
 					sum.add(got)
 				})
 			}
 			t.Logf("%.1f ends and %.1f runs in the mean of %d, %d others refused of %d calls in all",
-				float64(sum.ends)/float64(tc.seeds), float64(sum.runs)/float64(tc.seeds), tc.seeds, sum.innocent, sum.calls)
+				float64(sum.crashes)/float64(tc.seeds), float64(sum.runs)/float64(tc.seeds), tc.seeds, sum.wronglyRefused, sum.calls)
 		})
 	}
 }
 
-func (t *endsTally) add(o endsTally) {
-	t.innocent += o.innocent
+func (t *crashTally) add(o crashTally) {
+	t.wronglyRefused += o.wronglyRefused
 	t.calls += o.calls
-	t.ends += o.ends
+	t.crashes += o.crashes
 	t.runs += o.runs
 }
 
-// TestFleetServesOthersBesideARequestThatEndsUpstreams compares what callers of a large
+// TestFleetServesOthersDespitePoisonRequest compares what callers of a large
 // fleet get with and without it.
-func TestFleetServesOthersBesideARequestThatEndsUpstreams(t *testing.T) {
+func TestFleetServesOthersDespitePoisonRequest(t *testing.T) {
 	for seed := range uint64(2) {
-		with := playEnds(95, 20*time.Second, seed, withDeadly(1))
-		calm := playEnds(95, 20*time.Second, seed, func(*fleetSim) {})
-		t.Logf("seed %d: worth %.4f, without it %.4f", seed, with.worth(), calm.worth())
-		if with.worth() < calm.worth()-0.01 {
-			t.Errorf("seed %d: worth %.4f, without it %.4f", seed, with.worth(), calm.worth())
+		poisoned := runWithCrashes(95, 20*time.Second, seed, withPoisonRequests(1))
+		baseline := runWithCrashes(95, 20*time.Second, seed, func(*fleetSim) {})
+		t.Logf("seed %d: worth %.4f, without it %.4f", seed, poisoned.valueShare(), baseline.valueShare())
+		if poisoned.valueShare() < baseline.valueShare()-0.01 {
+			t.Errorf("seed %d: worth %.4f, without it %.4f", seed, poisoned.valueShare(), baseline.valueShare())
 		}
 	}
 }
 
-// TestEndsOfOtherCausesQuarantineNothing ends a fifth of the upstreams by themselves, all
+// TestUnrelatedCrashesQuarantineNothing ends a fifth of the upstreams by themselves, all
 // at once and then one after the other, of a fleet that has run for 12 s: what ran there
 // is served as ever.
-func TestEndsOfOtherCausesQuarantineNothing(t *testing.T) {
+func TestUnrelatedCrashesQuarantineNothing(t *testing.T) {
 	for seed := range uint64(4) {
-		s := playEnds(95, 24*time.Second, seed, func(s *fleetSim) {
+		s := runWithCrashes(95, 24*time.Second, seed, func(s *fleetSim) {
 			s.after(12*time.Second, func() {
 				for _, i := range s.rng.Perm(len(s.vms))[:len(s.vms)/5] {
-					s.endUpstream(s.vms[i])
+					s.crashUpstream(s.vms[i])
 				}
 			})
 			for i := range len(s.vms) / 5 {
-				s.after(17*time.Second+time.Duration(i)*200*time.Millisecond, func() { s.endUpstream(s.vms[s.rng.IntN(len(s.vms))]) })
+				s.after(17*time.Second+time.Duration(i)*200*time.Millisecond, func() { s.crashUpstream(s.vms[s.rng.IntN(len(s.vms))]) })
 			}
 		})
-		held := 0
+		quarantinedCount := 0
 		for _, r := range s.vms[0].suspects.Records() {
 			if r.Quarantined() {
-				held++
+				quarantinedCount++
 			}
 		}
-		t.Logf("seed %d: %d ends, %d requests quarantined, %d calls refused for it, worth %.4f", seed, len(s.ends.at), held, s.ends.innocent, s.worth())
-		if held > 0 || s.ends.innocent > 0 {
-			t.Errorf("seed %d: %d requests quarantined, %d calls refused", seed, held, s.ends.innocent)
+		t.Logf("seed %d: %d ends, %d requests quarantined, %d calls refused for it, worth %.4f", seed, len(s.crashes.times), quarantinedCount, s.crashes.wronglyRefused, s.valueShare())
+		if quarantinedCount > 0 || s.crashes.wronglyRefused > 0 {
+			t.Errorf("seed %d: %d requests quarantined, %d calls refused", seed, quarantinedCount, s.crashes.wronglyRefused)
 		}
 	}
 }
--- a/internal/callpath/fleet_sim_test.go
+++ b/internal/callpath/fleet_sim_test.go
@@ -33,18 +33,18 @@
 	byID   map[string]*simVM
 	kinds  []*simKind
 	// attempts and crossed count the attempts and those that left the failure domain.
-	attempts int
-	crossed  int
-	// sheds is the part of what comes that the upstreams of a service refuse.
-	sheds map[string]float64
+	attempts    int
+	crossDomain int
+	// refusalRate is the part of what comes that the upstreams of a service refuse.
+	refusalRate map[string]float64
 	// callsTo counts the calls to a service that are no repeats, repeatsAt the repeats
 	// that reach its upstreams.
 	callsTo   map[string]int
 	repeatsAt map[string]int
-	// inUse counts the slots in use at each sampling, by service, and seen all slots.
-	inUse, seen map[string]int
-	// ends is what becomes of upstreams that end under a request.
-	ends simEnds
+	// sampledInUse counts the slots in use at each sampling, by service, and sampledSlots all slots.
+	sampledInUse, sampledSlots map[string]int
+	// crashes is what becomes of upstreams that end under a request.
+	crashes simCrashes
 }
 
 // simVM is a VM with its daemon and its upstream.
@@ -61,40 +61,40 @@
 }
 
 type simWait struct {
-	w       *admission.Waiter
-	decided func(outcome.Reason)
+	waiter     *admission.Waiter
+	onDecision func(outcome.Reason)
 }
 
 // simKind is a kind of call.
 type simKind struct {
-	route    *view.Route
-	service  string
-	perVM    float64 // calls a second that enter at each VM
-	work     time.Duration
-	spread   float64
-	deadline time.Duration
-	late     float64 // what a late answer is worth, as a part of one in time
-	worth    float64 // what an answer in time is worth
-	callOf   *simKind
-	callPart float64
-	calls    int
-	// inTurn says that the calls follow the run's own work, one after the other.
-	inTurn bool
-
-	// deadly calls end the upstream that runs them; all are copies of one.
-	deadly bool
-
-	// again counts the returns of callers that were refused.
-	asked, inTime, lateN, refused, failed, again int
+	route       *view.Route
+	service     string
+	ratePerVM   float64 // calls a second that enter at each VM
+	work        time.Duration
+	spread      float64
+	deadline    time.Duration
+	lateValue   float64 // what a late answer is worth, as a part of one in time
+	value       float64 // what an answer in time is worth
+	nestedKind  *simKind
+	nestedShare float64
+	nestedCalls int
+	// sequential says that the calls follow the run's own work, one after the other.
+	sequential bool
+
+	// poison calls end the upstream that runs them; all are copies of one.
+	poison bool
+
+	// returned counts the returns of callers that were refused.
+	sent, inTime, late, refused, failed, returned int
 }
 
 // simCall is a caller's request with its returns.
 type simCall struct {
-	kind    *simKind
-	vm      *simVM
-	first   time.Time
-	until   time.Time
-	returns int
+	kind      *simKind
+	vm        *simVM
+	firstSent time.Time
+	deadline  time.Time
+	returns   int
 	// path is that of the request, the same when the caller returns.
 	path string
 }
@@ -144,10 +144,10 @@
 type simLoad struct {
 	slots   int
 	domains int
-	// large is the part of the VMs whose upstreams are of the larger service.
-	large  float64
-	speeds []float64
-	kinds  []*simKind
+	// largeShare is the part of the VMs whose upstreams are of the larger service.
+	largeShare float64
+	speeds     []float64
+	kinds      []*simKind
 }
 
 const (
@@ -165,41 +165,41 @@
 }
 
 // scaled returns the load a number of times as high.
-func (l simLoad) scaled(times float64) simLoad {
+func (l simLoad) scaled(factor float64) simLoad {
 	for _, k := range l.kinds {
-		k.perVM *= times
+		k.ratePerVM *= factor
 	}
 	return l
 }
 
 const ms = time.Millisecond
 
-// banks is the load of savings banks: lookups whose work makes two short calls to the
+// bankLoad is the load of savings bankLoad: lookups whose work makes two short calls to the
 // smaller service, postings, uploads and queries. Grounds: 95 VMs with 15 slots each, 74 of
 // them for the larger service, 845, 319, 101 and 99.5 calls a second.
-func banks(load float64) simLoad {
-	check := &simKind{route: simRoute("check", 12, 500*ms, 1500*ms, true), service: "small", work: 120 * ms, spread: 0.5, deadline: 1500 * ms, worth: 1}
-	return simLoad{slots: simSlots, domains: simDomains, large: 74.0 / 95, speeds: []float64{0.5, 1, 1, 1.5}, kinds: []*simKind{
-		{route: simRoute("lookup", 14, 1500*ms, 5000*ms, true), service: "large", perVM: 845.0 / 95, work: 480 * ms, spread: 0.8,
-			deadline: 10_000 * ms, late: 0.5, worth: 1, callOf: check, callPart: 0.7, calls: 2},
-		{route: simRoute("post", 15, 2000*ms, 6000*ms, false), service: "large", perVM: 319.0 / 95, work: 630 * ms, spread: 0.5, deadline: 12_000 * ms, late: 0.5, worth: 1},
-		{route: simRoute("upload", 15, 2000*ms, 8000*ms, false), service: "small", perVM: 101.0 / 95, work: 580 * ms, spread: 0.8, deadline: 12_000 * ms, late: 0.5, worth: 1},
-		{route: simRoute("query", 14, 1200*ms, 3000*ms, false), service: "small", perVM: 99.5 / 95, work: 390 * ms, spread: 0.8, deadline: 6_000 * ms, late: 0.5, worth: 1},
+func bankLoad(load float64) simLoad {
+	check := &simKind{route: simRoute("check", 12, 500*ms, 1500*ms, true), service: "small", work: 120 * ms, spread: 0.5, deadline: 1500 * ms, value: 1}
+	return simLoad{slots: simSlots, domains: simDomains, largeShare: 74.0 / 95, speeds: []float64{0.5, 1, 1, 1.5}, kinds: []*simKind{
+		{route: simRoute("lookup", 14, 1500*ms, 5000*ms, true), service: "large", ratePerVM: 845.0 / 95, work: 480 * ms, spread: 0.8,
+			deadline: 10_000 * ms, lateValue: 0.5, value: 1, nestedKind: check, nestedShare: 0.7, nestedCalls: 2},
+		{route: simRoute("post", 15, 2000*ms, 6000*ms, false), service: "large", ratePerVM: 319.0 / 95, work: 630 * ms, spread: 0.5, deadline: 12_000 * ms, lateValue: 0.5, value: 1},
+		{route: simRoute("upload", 15, 2000*ms, 8000*ms, false), service: "small", ratePerVM: 101.0 / 95, work: 580 * ms, spread: 0.8, deadline: 12_000 * ms, lateValue: 0.5, value: 1},
+		{route: simRoute("query", 14, 1200*ms, 3000*ms, false), service: "small", ratePerVM: 99.5 / 95, work: 390 * ms, spread: 0.8, deadline: 6_000 * ms, lateValue: 0.5, value: 1},
 		check,
 	}}.scaled(load)
 }
 
-// fewSlots is the same banks' load after it has shifted: shorter work, more of it, and 4
+// fewSlotsLoad is the same banks' load after it has shifted: shorter work, more of it, and 4
 // slots an upstream; postings are worth twice a lookup. Grounds: 69 VMs, 55 of them for the
 // larger service, 1,054, 1,210, 125 and 371 calls a second on the heaviest day.
-func fewSlots(load float64) simLoad {
+func fewSlotsLoad(load float64) simLoad {
 	check := &simKind{route: simRoute("check", 14, 80*ms, 250*ms, true), service: "small", work: 19 * ms, spread: 0.5, deadline: 250 * ms}
-	return simLoad{slots: 4, domains: 3, large: 55.0 / 69, speeds: []float64{1 / 0.7, 1 / 0.7, 1 / 1.6}, kinds: []*simKind{
-		{route: simRoute("lookup", 14, 300*ms, 1000*ms, true), service: "large", perVM: 1054.0 / 69, work: 77 * ms, spread: 0.5,
-			deadline: 2000 * ms, late: 0.5, worth: 1, callOf: check, callPart: 0.7, calls: 2, inTurn: true},
-		{route: simRoute("post", 15, 400*ms, 1200*ms, false), service: "large", perVM: 1210.0 / 69, work: 100 * ms, spread: 0.3, deadline: 2500 * ms, late: 0.5, worth: 2},
-		{route: simRoute("upload", 15, 600*ms, 3000*ms, false), service: "small", perVM: 125.0 / 69, work: 92 * ms, spread: 0.5, deadline: 4000 * ms, late: 0.5, worth: 2},
-		{route: simRoute("query", 14, 250*ms, 800*ms, false), service: "small", perVM: 371.0 / 69, work: 62 * ms, spread: 0.3, deadline: 1500 * ms, late: 0.5, worth: 1},
+	return simLoad{slots: 4, domains: 3, largeShare: 55.0 / 69, speeds: []float64{1 / 0.7, 1 / 0.7, 1 / 1.6}, kinds: []*simKind{
+		{route: simRoute("lookup", 14, 300*ms, 1000*ms, true), service: "large", ratePerVM: 1054.0 / 69, work: 77 * ms, spread: 0.5,
+			deadline: 2000 * ms, lateValue: 0.5, value: 1, nestedKind: check, nestedShare: 0.7, nestedCalls: 2, sequential: true},
+		{route: simRoute("post", 15, 400*ms, 1200*ms, false), service: "large", ratePerVM: 1210.0 / 69, work: 100 * ms, spread: 0.3, deadline: 2500 * ms, lateValue: 0.5, value: 2},
+		{route: simRoute("upload", 15, 600*ms, 3000*ms, false), service: "small", ratePerVM: 125.0 / 69, work: 92 * ms, spread: 0.5, deadline: 4000 * ms, lateValue: 0.5, value: 2},
+		{route: simRoute("query", 14, 250*ms, 800*ms, false), service: "small", ratePerVM: 371.0 / 69, work: 62 * ms, spread: 0.3, deadline: 1500 * ms, lateValue: 0.5, value: 1},
 		check,
 	}}.scaled(load)
 }
@@ -208,16 +208,16 @@
 func newFleetSim(n int, load simLoad, length time.Duration, seed uint64) *fleetSim {
 	s := &fleetSim{
 		rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), load: load, kinds: load.kinds,
-		byID:  map[string]*simVM{},
-		inUse: map[string]int{}, seen: map[string]int{},
-		sheds: map[string]float64{}, callsTo: map[string]int{}, repeatsAt: map[string]int{},
-		ends: simEnds{under: map[string][]time.Time{}, runs: map[string][]time.Time{}},
+		byID:         map[string]*simVM{},
+		sampledInUse: map[string]int{}, sampledSlots: map[string]int{},
+		refusalRate: map[string]float64{}, callsTo: map[string]int{}, repeatsAt: map[string]int{},
+		crashes: simCrashes{crashesByPath: map[string][]time.Time{}, runsByPath: map[string][]time.Time{}},
 	}
 	s.end = s.now.Add(length)
 	clock := func() time.Time { return s.now }
 	events := event.NewRing("vm", event.NewClock(clock), 16)
 	m := NewMetrics(metrics.NewRegistry())
-	large := int(math.Round(load.large * float64(n)))
+	large := int(math.Round(load.largeShare * float64(n)))
 	for i := range n {
 		vm := &simVM{id: fmt.Sprintf("vm-%d", i), service: "large", domain: fmt.Sprintf("d%d", i%load.domains), speed: load.speeds[s.rng.IntN(len(load.speeds))]}
 		if i >= large {
@@ -233,9 +233,9 @@
 		s.vms = append(s.vms, vm)
 		s.byID[vm.id] = vm
 	}
-	s.after(simWarm, s.sample)
+	s.after(simWarmUp, s.sample)
 	for _, vm := range s.vms {
-		vm.services = s.servicesSeenFrom(vm)
+		vm.services = s.servicesFor(vm)
 		for _, k := range s.kinds {
 			s.arrivals(vm, k)
 		}
@@ -243,7 +243,7 @@
 	return s
 }
 
-func (s *fleetSim) servicesSeenFrom(vm *simVM) map[string]*view.Service {
+func (s *fleetSim) servicesFor(vm *simVM) map[string]*view.Service {
 	services := map[string]*view.Service{}
 	for _, o := range s.vms {
 		sv := services[o.service]
@@ -260,49 +260,49 @@
 
 // arrivals lets callers of a kind come to a VM.
 func (s *fleetSim) arrivals(vm *simVM, k *simKind) {
-	if k.perVM == 0 {
+	if k.ratePerVM == 0 {
 		return
 	}
-	s.after(time.Duration(s.rng.ExpFloat64()/k.perVM*float64(time.Second)), func() {
-		k.asked++
-		s.ask(&simCall{kind: k, vm: vm, first: s.now, until: s.now.Add(k.deadline), path: s.pathOf(k)})
+	s.after(time.Duration(s.rng.ExpFloat64()/k.ratePerVM*float64(time.Second)), func() {
+		k.sent++
+		s.sendCall(&simCall{kind: k, vm: vm, firstSent: s.now, deadline: s.now.Add(k.deadline), path: s.newPath(k)})
 		s.arrivals(vm, k)
 	})
 }
 
-// simReturns is how often a caller comes back.
-const simReturns = 2
+// maxReturns is how often a caller comes back.
+const maxReturns = 2
 
-func (s *fleetSim) ask(sc *simCall) {
+func (s *fleetSim) sendCall(sc *simCall) {
 	k := sc.kind
-	s.carry(sc.vm, k, sc.path, s.now.Add(min(k.route.Policy.Timeout, sc.until.Sub(s.now))), sc.first.Add(k.route.Policy.Objective), nil, func(r outcome.Result) {
-		s.ends.note(k, r)
-		took := s.now.Sub(sc.first)
-		left := sc.until.Sub(s.now)
+	s.submit(sc.vm, k, sc.path, s.now.Add(min(k.route.Policy.Timeout, sc.deadline.Sub(s.now))), sc.firstSent.Add(k.route.Policy.Objective), nil, func(r outcome.Result) {
+		s.crashes.recordResult(k, r)
+		took := s.now.Sub(sc.firstSent)
+		left := sc.deadline.Sub(s.now)
 		switch {
 		case r.Outcome == outcome.Answered && r.Status < 500:
 			if took <= k.route.Policy.Objective {
 				k.inTime++
 			} else {
-				k.lateN++
+				k.late++
 			}
-		case r.Outcome == outcome.NotRun && sc.returns < simReturns && left > 0:
+		case r.Outcome == outcome.NotRun && sc.returns < maxReturns && left > 0:
 			sc.returns++
-			k.again++
-			s.after(min(r.RetryAfter, left/3), func() { s.ask(sc) })
+			k.returned++
+			s.after(min(r.RetryAfter, left/3), func() { s.sendCall(sc) })
 		case r.Outcome == outcome.NotRun:
 			k.refused++
-		case sc.returns < simReturns && k.route.Policy.Repeatable != nil && left > 0:
+		case sc.returns < maxReturns && k.route.Policy.Repeatable != nil && left > 0:
 			sc.returns++
-			s.ask(sc)
+			s.sendCall(sc)
 		default:
 			k.failed++
 		}
 	})
 }
 
-// carry takes a call through the ingress of a VM.
-func (s *fleetSim) carry(vm *simVM, k *simKind, path string, deadline, objective time.Time, parent *simParent, done func(outcome.Result)) {
+// submit takes a call through the ingress of a VM.
+func (s *fleetSim) submit(vm *simVM, k *simKind, path string, deadline, objective time.Time, parent *simParent, done func(outcome.Result)) {
 	in := vm.ingress
 	c := &call{route: k.route, service: vm.services[k.service], attempt: Attempt{
 		Urgency: k.route.Policy.Urgency, Deadline: deadline, Objective: objective, Repeatable: k.route.Policy.Repeatable != nil,
@@ -310,7 +310,7 @@
 	}}
 	if parent != nil {
 		c.attempt.Nested, c.attempt.Urgency, c.attempt.ParentServed = true, parent.urgency, int(permille*parent.vm.gate.Served())
-		c.attempt.Lot, c.attempt.Repeated = parent.lot, parent.repeated
+		c.attempt.Lot, c.attempt.Repeated = parent.rootHash, parent.repeated
 	}
 	for _, b := range []*budget{in.budget, in.refusals, in.failures} {
 		b.earn(c.service.Name)
@@ -324,7 +324,7 @@
 }
 
 // ways is how long a message takes: on a VM, in a failure domain and between them.
-func (s *fleetSim) way(from, to *simVM) time.Duration {
+func (s *fleetSim) messageDelay(from, to *simVM) time.Duration {
 	switch {
 	case from == to:
 		return 50 * time.Microsecond
@@ -340,7 +340,7 @@
 		done(in.outOfTime(*t))
 		return
 	}
-	if refusal, held := quarantined(vm.suspects, &c.attempt, s.now); held {
+	if refusal, blocked := quarantined(vm.suspects, &c.attempt, s.now); blocked {
 		done(t.exhausted(refusal))
 		return
 	}
@@ -353,12 +353,12 @@
 	c.attempt.Repeated = c.attempt.Repeated || t.reached > 0
 	s.attempts++
 	if to.domain != vm.domain {
-		s.crossed++
+		s.crossDomain++
 	}
 	began := s.now
-	s.after(s.way(vm, to), func() {
+	s.after(s.messageDelay(vm, to), func() {
 		s.arrive(vm, to, k, c, func(r outcome.Result) {
-			s.after(s.way(vm, to), func() {
+			s.after(s.messageDelay(vm, to), func() {
 				if r.Outcome == outcome.Answered {
 					in.picker.Note(c.route.Name, 5000, s.now.Sub(began))
 				}
@@ -383,38 +383,38 @@
 		r.Load, r.HasLoad = to.gate.Load(), true
 		reply(r)
 	}
-	if reason := s.mayEnter(vm, to, c); reason != "" {
+	if reason := s.refusalOnArrival(vm, to, c); reason != "" {
 		refuse(reason, 0)
 		return
 	}
 	w, reason, after := to.gate.Enter(ask)
 	switch {
 	case w == nil && reason == "":
-		s.work(to, k, c, ask, reply)
+		s.runAttempt(to, k, c, ask, reply)
 	case w == nil:
 		refuse(reason, after)
 	default:
-		to.waiting = append(to.waiting, &simWait{w: w, decided: func(reason outcome.Reason) {
+		to.waiting = append(to.waiting, &simWait{waiter: w, onDecision: func(reason outcome.Reason) {
 			if reason != "" {
 				refuse(reason, to.gate.RetryAfter())
 				return
 			}
-			s.work(to, k, c, ask, reply)
+			s.runAttempt(to, k, c, ask, reply)
 		}})
 		s.after(ask.Deadline.Sub(s.now)-admission.AnswerMargin, func() {
 			to.gate.Quit(w, outcome.ReasonDeadline)
-			s.settle(to)
+			s.deliverDecisions(to)
 		})
 	}
-	s.settle(to)
+	s.deliverDecisions(to)
 }
 
-// settle goes on with whoever a gate has decided on.
-func (s *fleetSim) settle(vm *simVM) {
+// deliverDecisions goes on with whoever a gate has decided on.
+func (s *fleetSim) deliverDecisions(vm *simVM) {
 	var rest, decided []*simWait
 	for _, w := range vm.waiting {
 		select {
-		case <-w.w.Decided():
+		case <-w.waiter.Decided():
 			decided = append(decided, w)
 		default:
 			rest = append(rest, w)
@@ -422,78 +422,78 @@
 	}
 	vm.waiting = rest
 	for _, w := range decided {
-		w.decided(w.w.Refused())
+		w.onDecision(w.waiter.Refused())
 	}
 }
 
 // simParent is the run that makes a nested call.
 type simParent struct {
-	// lot is that of the request.
-	lot      float64
+	// rootHash is that of the request.
+	rootHash float64
 	repeated bool
 	urgency  config.Urgency
 	vm       *simVM
 }
 
-// work runs an attempt at an upstream.
-func (s *fleetSim) work(vm *simVM, k *simKind, c *call, a admission.Ask, reply func(outcome.Result)) {
+// runAttempt runs an attempt at an upstream.
+func (s *fleetSim) runAttempt(vm *simVM, k *simKind, c *call, a admission.Ask, reply func(outcome.Result)) {
 	if c.attempt.Repeated {
 		s.repeatsAt[vm.service]++
 	}
 	if vm.down {
 		vm.gate.Release(0)
 		reply(outcome.Refuse(outcome.ReasonUnreachable, outcome.MinRetryAfter))
-		s.settle(vm)
+		s.deliverDecisions(vm)
 		return
 	}
-	if s.rng.Float64() < s.sheds[vm.service] {
+	if s.rng.Float64() < s.refusalRate[vm.service] {
 		vm.gate.Release(0)
 		reply(outcome.Refuse(outcome.ReasonShed, 0))
-		s.settle(vm)
+		s.deliverDecisions(vm)
 		return
 	}
 	sigma := math.Sqrt(math.Log(1 + k.spread*k.spread))
 	factor := math.Exp(sigma*s.rng.NormFloat64() - sigma*sigma/2)
-	took := time.Duration(float64(k.work) * factor / vm.speed * s.crowding(vm))
+	took := time.Duration(float64(k.work) * factor / vm.speed * s.slowdown(vm))
 	began := s.now
-	parent := &simParent{urgency: a.Urgency, vm: vm, lot: s.rng.Float64(), repeated: c.attempt.Repeated}
-	over := false
-	leave, heldBack := s.enter(vm, k, c, func() {
-		over = true
+	parent := &simParent{urgency: a.Urgency, vm: vm, rootHash: s.rng.Float64(), repeated: c.attempt.Repeated}
+	finished := false
+	finish, refusal := s.startRun(vm, k, c, func() {
+		finished = true
 		vm.gate.Release(s.now.Sub(began))
 		reply(outcome.Unsure(outcome.ReasonEnded, nil))
 	})
-	if heldBack != "" {
+	if refusal != "" {
 		vm.gate.Release(0)
-		reply(outcome.Refuse(heldBack, 0))
-		s.settle(vm)
+		reply(outcome.Refuse(refusal, 0))
+		s.deliverDecisions(vm)
 		return
 	}
 	end := func(status int) {
-		if over {
+		if finished {
 			return
 		}
-		over = true
-		leave(status)
+		finished = true
+		finish(status)
 		spent := s.now.Sub(began)
 		load := vm.gate.LoadAfter(spent)
 		vm.gate.Release(spent)
 		reply(outcome.Result{Outcome: outcome.Answered, Status: status, Body: http.NoBody, Load: load, HasLoad: true})
-		s.settle(vm)
+		s.deliverDecisions(vm)
 	}
-	open := 1
+	pending := 1
 	step := func() {
-		if open--; open == 0 {
+		if pending--; pending == 0 {
 			end(http.StatusOK)
 		}
 	}
 	calls := 0
-	if k.callOf != nil && s.rng.Float64() < k.callPart {
-		calls = k.calls
+	if k.nestedKind != nil && s.rng.Float64() < k.nestedShare {
+		calls = k.nestedCalls
 	}
-	open += calls
+	pending += calls
 	nested := func(next func()) {
-		s.carryNested(vm, k.callOf, a.Deadline, parent, func(status int) {
+		s.submitNested(vm, k.nestedKind, a.Deadline, parent, func(status int) {
 			if status != http.StatusOK {
 				end(status)
 				return
@@ -502,32 +502,32 @@
 			next()
 		})
 	}
-	if !k.inTurn {
+	if !k.sequential {
 		for range calls {
 			nested(func() {})
 		}
 		s.after(took, step)
 		return
 	}
-	var turn func()
-	turn = func() {
-		if calls--; calls >= 0 && !over {
-			nested(turn)
+	var callNext func()
+	callNext = func() {
+		if calls--; calls >= 0 && !finished {
+			nested(callNext)
 		}
 	}
 	s.after(took, func() {
 		step()
-		turn()
+		callNext()
 	})
 }
 
-// carryNested carries a call that a run makes. The status is what its run comes to by it.
-func (s *fleetSim) carryNested(vm *simVM, k *simKind, until time.Time, parent *simParent, done func(status int)) {
-	k.asked++
-	if own := s.now.Add(k.deadline); own.Before(until) {
-		until = own
+// submitNested carries a call that a run makes. The status is what its run comes to by it.
+func (s *fleetSim) submitNested(vm *simVM, k *simKind, deadline time.Time, parent *simParent, done func(status int)) {
+	k.sent++
+	if own := s.now.Add(k.deadline); own.Before(deadline) {
+		deadline = own
 	}
-	s.carry(vm, k, s.pathOf(k), until, s.now.Add(k.route.Policy.Objective), parent, func(r outcome.Result) {
+	s.submit(vm, k, s.newPath(k), deadline, s.now.Add(k.route.Policy.Objective), parent, func(r outcome.Result) {
 		switch {
 		case r.Outcome == outcome.Answered && r.Status < 500:
 			k.inTime++
@@ -542,38 +542,38 @@
 	})
 }
 
-// crowding is how much longer runs take at an upstream that is nearly full.
-func (s *fleetSim) crowding(vm *simVM) float64 {
+// slowdown is how much longer runs take at an upstream that is nearly full.
+func (s *fleetSim) slowdown(vm *simVM) float64 {
 	share := float64(vm.gate.Load().InFlight) / float64(s.load.slots)
 	return 1 + 0.1*math.Pow(share, 4)
 }
 
-// sampleEvery is how often slots in use are counted, simWarm from when on.
+// sampleInterval is how often slots in use are counted, simWarmUp from when on.
 const (
-	sampleEvery = 20 * time.Millisecond
-	simWarm     = 2 * time.Second
+	sampleInterval = 20 * time.Millisecond
+	simWarmUp      = 2 * time.Second
 )
 
 func (s *fleetSim) sample() {
 	for _, vm := range s.vms {
-		s.inUse[vm.service] += vm.gate.Load().InFlight
-		s.seen[vm.service] += s.load.slots
+		s.sampledInUse[vm.service] += vm.gate.Load().InFlight
+		s.sampledSlots[vm.service] += s.load.slots
 	}
-	s.after(sampleEvery, s.sample)
+	s.after(sampleInterval, s.sample)
 }
 
-// busy is the part of a service's slots that was in use.
-func (s *fleetSim) busy(service string) float64 {
-	return float64(s.inUse[service]) / float64(s.seen[service])
+// utilization is the part of a service's slots that was in use.
+func (s *fleetSim) utilization(service string) float64 {
+	return float64(s.sampledInUse[service]) / float64(s.sampledSlots[service])
 }
 
-// worth is what callers got of what they were owed.
-func (s *fleetSim) worth() float64 {
+// valueShare is what callers got of what they were owed.
+func (s *fleetSim) valueShare() float64 {
 	got, owed := 0.0, 0.0
 	for _, k := range s.kinds {
-		if k.perVM > 0 {
-			got += k.worth * (float64(k.inTime) + k.late*float64(k.lateN))
-			owed += k.worth * float64(k.asked)
+		if k.ratePerVM > 0 {
+			got += k.value * (float64(k.inTime) + k.lateValue*float64(k.late))
+			owed += k.value * float64(k.sent)
 		}
 	}
 	return got / owed
--- a/internal/callpath/gone.go
+++ b/internal/callpath/gone.go
@@ -5,18 +5,18 @@
 	"net"
 )
 
-// connKey is the context's key for the connection that a request came on.
+// connKey is the context key of the connection on which a request arrived.
 type connKey struct{}
 
-// WithConn lets the call path look at the connection that requests come on. It
-// is an http.Server's ConnContext.
+// WithConn stores the connection on which requests arrive in their context, so that
+// callerGone can check it. Use it as the ConnContext of an http.Server.
 func WithConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// callerGone reports whether whoever sent the request has closed its connection.
-// The server notices that by itself, but where processor time is short only
-// after it has passed on what waited in the sockets meanwhile.
+// callerGone reports whether the sender of the request has closed its connection. The
+// server also notices that and cancels the context, but when CPU time is short only after
+// it has dispatched the requests that were waiting in the sockets meanwhile.
 func callerGone(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return true
--- a/internal/callpath/gone_linux.go
+++ b/internal/callpath/gone_linux.go
@@ -7,8 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// closedByPeer looks, without waiting, whether the other end has closed a
-// connection on which nothing more is awaited. Somebody else may be reading.
+// closedByPeer reports, without waiting, whether the other end has closed a connection on
+// which no unread bytes are left. It only peeks, so another goroutine may be reading from
+// the connection.
 func closedByPeer(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/callpath/gone_other.go
+++ b/internal/callpath/gone_other.go
@@ -4,5 +4,6 @@
 
 import "net"
 
-// closedByPeer cannot look at the connection here: the server notices later.
+// closedByPeer cannot check the connection on this system: the server notices a
+// disconnect later.
 func closedByPeer(net.Conn) bool { return false }
--- a/internal/callpath/gone_test.go
+++ b/internal/callpath/gone_test.go
@@ -14,7 +14,7 @@
 	"github.com/comfreygate/comfreygate/internal/outcome"
 )
 
-// pair returns the two ends of a connection.
+// pair returns the two ends of a TCP connection.
 func pair(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,14 +34,15 @@
 	return client, server
 }
 
-// TestNothingStartsForCallersWhoHaveGone lets a caller close its connection
-// while nobody has had the time to notice: the context has not ended.
-func TestNothingStartsForCallersWhoHaveGone(t *testing.T) {
+// TestAttemptOfDisconnectedCallerIsNotStarted covers an attempt whose caller has closed
+// its connection before the server noticed and cancelled the context: the attempt must be
+// voided, not run.
+func TestAttemptOfDisconnectedCallerIsNotStarted(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 1, 1, time.Millisecond)
 	w := r.workers[0]
 	client, server := pair(t)
-	go func() { // as a server reads ahead
+	go func() { // reads ahead as an HTTP server does
 		var b [1]byte
 		_, _ = server.Read(b[:])
 	}()
@@ -52,19 +53,19 @@
 			Method: http.MethodGet, URL: &url.URL{Path: "/normal"}, Header: http.Header{},
 		}
 	}
-	there := w.owner.carry(ctx, attempt("there"))
-	is.Equal(there.Outcome, outcome.Answered)
-	there.Body.Close() // gives the slot back
-	gone, end := pair(t)
-	gone.Close()
-	for !closedByPeer(end) { // it takes the kernel a moment
+	served := w.owner.carry(ctx, attempt("there"))
+	is.Equal(served.Outcome, outcome.Answered)
+	served.Body.Close() // releases the slot
+	disconnected, end := pair(t)
+	disconnected.Close()
+	for !closedByPeer(end) { // until the kernel has processed the close
 		time.Sleep(time.Millisecond)
 	}
-	late := w.owner.carry(WithConn(context.Background(), end), attempt("gone"))
-	is.Equal(late.Outcome, outcome.NotRun)
-	is.Equal(late.Reason, outcome.ReasonCancelled)
+	refused := w.owner.carry(WithConn(context.Background(), end), attempt("gone"))
+	is.Equal(refused.Outcome, outcome.NotRun)
+	is.Equal(refused.Reason, outcome.ReasonCancelled)
 	is.Equal(w.runs.Load(), int64(1))
 	is.Equal(w.owner.ledger.ask("gone"), Voided)
-	is.True(!closedByPeer(server)) // somebody else is reading there
+	is.True(!closedByPeer(server)) // although another goroutine is reading from it
 	client.Close()
 }
--- a/internal/callpath/health.go
+++ b/internal/callpath/health.go
@@ -8,48 +8,52 @@
 	"github.com/comfreygate/comfreygate/internal/view"
 )
 
-// avoidOwner takes an owner out of use that could not be reached, and asks it
-// from time to time until it answers again.
+// avoidOwner stops using an owner that could not be reached, and probes it in the
+// background until it answers again.
 func (in *Ingress) avoidOwner(u view.Upstream) {
 	if !in.picker.SetDown(u.Owner, true) {
 		return
 	}
 	in.cfg.Logger.Info().Str("step", "owner-down").Str("peer", u.Daemon).Str("domain", u.Domain).
-		Msg("cannot be reached, out of use")
-	go in.awaitOwner(u)
+		Msg("owner unreachable: no calls are sent to it until it answers")
+	go in.probeUntilReachable(u)
 }
 
-// ownerRetry bounds the pause between questions to an owner that is down.
+// ownerProbeMinInterval and ownerProbeMaxInterval limit the backoff between probes of an
+// unreachable owner.
 const (
-	ownerRetryFirst = 100 * time.Millisecond
-	ownerRetryLast  = 5 * time.Second
+	ownerProbeMinInterval = 100 * time.Millisecond
+	ownerProbeMaxInterval = 5 * time.Second
 )
 
-func (in *Ingress) awaitOwner(u view.Upstream) {
-	began := in.cfg.Now()
-	wait := ownerRetryFirst
+// probeUntilReachable probes an owner with jittered exponential backoff until it answers
+// or the upstream has left the view, and then lets calls be sent to it again.
+func (in *Ingress) probeUntilReachable(u view.Upstream) {
+	downSince := in.cfg.Now()
+	wait := ownerProbeMinInterval
 	for {
 		jittered := wait/2 + rand.N(wait)
 		if !pause(in.stop, jittered) {
 			return
 		}
 		_, err := in.remote.ask(in.stop, pathAttempt, u, &Attempt{ID: "ping"})
-		if err == nil || !in.known(u) {
+		if err == nil || !in.inView(u) {
 			in.picker.SetDown(u.Owner, false)
-			msg := "answers, in use"
+			msg := "owner answers again: calls are sent to it"
 			if err != nil {
-				msg = "has left, or started anew"
+				msg = "stopped probing owner: its upstream left the view or its daemon restarted"
 			}
 			in.cfg.Logger.Info().Str("step", "owner-up").Str("peer", u.Daemon).Str("domain", u.Domain).
-				Int64("down_ms", in.cfg.Now().Sub(began).Milliseconds()).Msg(msg)
+				Int64("down_ms", in.cfg.Now().Sub(downSince).Milliseconds()).Msg(msg)
 			return
 		}
-		wait = min(2*wait, ownerRetryLast)
+		wait = min(2*wait, ownerProbeMaxInterval)
 	}
 }
 
-// known reports whether the upstream is still in the view.
-func (in *Ingress) known(u view.Upstream) bool {
+// inView reports whether the upstream, in the same incarnation of its daemon, is still in
+// the view.
+func (in *Ingress) inView(u view.Upstream) bool {
 	s := in.view.Load().Services[u.Service]
 	if s == nil {
 		return false
--- a/internal/callpath/ledger.go
+++ b/internal/callpath/ledger.go
@@ -7,60 +7,63 @@
 	"github.com/comfreygate/comfreygate/internal/outcome"
 )
 
-// State is how far an attempt has come at its owner.
+// State is the state of an attempt at its owner.
 type State string
 
 // The states of an attempt.
 const (
-	// Unseen: the owner has never heard of the attempt.
+	// Unseen: the owner has no entry for the attempt.
 	Unseen State = "unseen"
-	// Waiting: it was received and has not started.
+	// Waiting: the attempt was received and has not started.
 	Waiting State = "waiting"
-	// Started: the upstream may have seen it.
+	// Started: the request may have been sent to the upstream.
 	Started State = "started"
-	// Finished: the upstream's answer has been passed on.
+	// Finished: the upstream's answer was passed on, or the attempt failed after it had
+	// started.
 	Finished State = "finished"
-	// Voided: it has not run and never will.
+	// Voided: the attempt has not run and never will.
 	Voided State = "voided"
 )
 
 const (
-	// ledgerKeep is how long an entry outlives its attempt, for questions
-	// about it and for copies of the request that arrive late.
-	ledgerKeep = time.Minute
-	// keyKeep is how long an idempotency key is remembered.
-	keyKeep = 10 * time.Minute
-	// ledgerMax bounds the entries. Beyond it attempts are refused rather
-	// than forgotten.
-	ledgerMax = 200_000
-	// sweepEvery is the interval at which expired entries are dropped.
-	sweepEvery = 5 * time.Second
+	// entryRetention is how long an entry is kept after its attempt's deadline, to answer
+	// queries about the attempt and to detect copies of the request that arrive late.
+	entryRetention = time.Minute
+	// keyRetention is how long an idempotency key is remembered after the attempt's
+	// deadline.
+	keyRetention = 10 * time.Minute
+	// maxLedgerEntries limits the number of entries. When the ledger is full, new
+	// attempts are refused; dropping old entries could let a late copy run twice.
+	maxLedgerEntries = 200_000
+	// sweepInterval is the interval at which expired entries are dropped.
+	sweepInterval = 5 * time.Second
 )
 
 type entry struct {
-	state State
-	key   string
-	until time.Time
+	state   State
+	key     string
+	expires time.Time
 }
 
-// ledger remembers the attempts that reached this owner. An attempt ID moves
-// from Unseen to Waiting to Started to Finished, or to Voided, and never back:
-// that makes "not run" true and keeps a late copy from running. Safe for
-// concurrent use.
+// ledger records the attempts that reached this owner. An attempt ID moves from Unseen to
+// Waiting to Started to Finished, or to Voided, and never back. This guarantees that an
+// attempt reported as not run never runs, and that no late copy of it does. It is safe
+// for concurrent use.
 type ledger struct {
 	mu       sync.Mutex
 	attempts map[string]*entry
 	// keys maps caller and idempotency key to the attempt that holds it.
-	keys  map[string]string
-	sweep time.Time
-	now   func() time.Time
+	keys      map[string]string
+	nextSweep time.Time
+	now       func() time.Time
 }
 
 func newLedger(now func() time.Time) *ledger {
 	return &ledger{attempts: map[string]*entry{}, keys: map[string]string{}, now: now}
 }
 
-// receive enters an attempt as Waiting. The reason tells why it may not go on.
+// receive enters an attempt as Waiting. If it returns false, the attempt must be refused
+// with the returned reason.
 func (l *ledger) receive(a *Attempt) (outcome.Reason, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,31 +75,32 @@
 		}
 		return outcome.ReasonDuplicate, false
 	}
-	if len(l.attempts) >= ledgerMax {
+	if len(l.attempts) >= maxLedgerEntries {
 		return outcome.ReasonOverload, false
 	}
-	e := &entry{state: Waiting, until: a.Deadline.Add(ledgerKeep)}
+	e := &entry{state: Waiting, expires: a.Deadline.Add(entryRetention)}
 	if a.Key != "" {
 		e.key = a.Caller + "\x00" + a.Key
-		if _, held := l.keys[e.key]; held {
+		if _, taken := l.keys[e.key]; taken {
 			return outcome.ReasonDuplicate, false
 		}
 		l.keys[e.key] = a.ID
-		e.until = a.Deadline.Add(keyKeep)
+		e.expires = a.Deadline.Add(keyRetention)
 	}
 	l.attempts[a.ID] = e
 	return "", true
 }
 
-// start moves an attempt from Waiting to Started. False: it was voided.
+// start moves an attempt from Waiting to Started. It returns false if the attempt was
+// voided.
 func (l *ledger) start(id string) bool {
-	return l.move(id, Waiting, Started)
+	return l.transition(id, Waiting, Started)
 }
 
 // finish moves an attempt from Started to Finished.
-func (l *ledger) finish(id string) { l.move(id, Started, Finished) }
+func (l *ledger) finish(id string) { l.transition(id, Started, Finished) }
 
-func (l *ledger) move(id string, from, to State) bool {
+func (l *ledger) transition(id string, from, to State) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.attempts[id]
@@ -107,8 +111,8 @@
 	return true
 }
 
-// abandon voids an attempt that its owner knows not to have run, also one
-// that was marked Started but whose request was never sent.
+// abandon voids an attempt that its owner knows not to have run, including one that was
+// marked Started but whose request was never sent.
 func (l *ledger) abandon(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,15 +139,15 @@
 	return Unseen
 }
 
-// tryVoid voids an attempt unless it has started, and returns its state then.
-// An attempt that has not arrived yet is voided in advance, for as long as a
-// late copy of it could still be within its deadline.
+// tryVoid voids an attempt unless it has started, and returns its resulting state. An
+// attempt that has not arrived yet is voided in advance, for as long as a late copy of it
+// could still be within its deadline.
 func (l *ledger) tryVoid(id string, deadline time.Time) State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.attempts[id]
 	if e == nil {
-		e = &entry{until: deadline.Add(ledgerKeep)}
+		e = &entry{expires: deadline.Add(entryRetention)}
 		l.attempts[id] = e
 		l.void(e)
 	}
@@ -154,12 +158,12 @@
 }
 
 func (l *ledger) expire(now time.Time) {
-	if now.Before(l.sweep) {
+	if now.Before(l.nextSweep) {
 		return
 	}
-	l.sweep = now.Add(sweepEvery)
+	l.nextSweep = now.Add(sweepInterval)
 	for id, e := range l.attempts {
-		if now.Before(e.until) {
+		if now.Before(e.expires) {
 			continue
 		}
 		delete(l.attempts, id)
--- a/internal/callpath/owner.go
+++ b/internal/callpath/owner.go
@@ -18,24 +18,25 @@
 	"github.com/comfreygate/comfreygate/internal/view"
 )
 
-// OwnerConfig is what an owner is made of.
+// OwnerConfig holds the dependencies and settings of an Owner.
 type OwnerConfig struct {
-	// Incarnation is this daemon's.
+	// Incarnation identifies this run of the daemon.
 	Incarnation uint64
-	// QueueFactor is the length of an upstream's queue as a multiple of its
-	// slots.
+	// QueueFactor is the length of an upstream's queue as a multiple of its slots.
 	QueueFactor float64
-	// ConnectTimeout bounds the opening of a connection to an upstream.
+	// ConnectTimeout limits how long opening a connection to an upstream may take.
 	ConnectTimeout time.Duration
-	// IdleTimeout is how long an idle connection to an upstream is kept. It
-	// must be shorter than the upstream keeps it.
+	// IdleTimeout is how long an idle connection to an upstream is kept. It must be
+	// shorter than the upstream's own idle timeout, so that a connection is never reused
+	// while the upstream is closing it.
 	IdleTimeout time.Duration
-	// LinkMbps is the VM's own link, in Mbit/s; zero: it has no bound.
+	// LinkMbps is the bandwidth of the VM's network link in Mbit/s; zero means unlimited.
 	LinkMbps float64
-	// Suspects is the daemon's one table of them. Nil: this owner has its own.
+	// Suspects is the daemon's table of suspects, shared with the ingress. If nil, the
+	// owner creates its own.
 	Suspects *suspect.Table
-	// Keeper answers other daemons' questions about the limits of workspaces. Nil: nobody
-	// does here.
+	// Keeper is the limit coordinator's handler: it answers requests of other daemons
+	// about workspace limits. Nil if this daemon is not a limit coordinator.
 	Keeper  http.Handler
 	Dialect Dialect
 	Logger  zerolog.Logger
@@ -44,27 +45,28 @@
 	Now     func() time.Time
 }
 
-// Owner runs attempts at the upstreams on its VM. Safe for concurrent use.
+// Owner runs attempts at the upstreams on its VM. It is safe for concurrent use.
 type Owner struct {
 	cfg    OwnerConfig
 	ledger *ledger
-	// running are the requests that the upstreams here work at.
-	running *running
+	// running holds the requests that are running at the upstreams of this VM.
+	running *runningRequests
 	guard   *stallGuard
-	// intake lets long bodies from other VMs in.
+	// intake schedules long request bodies that arrive from other VMs.
 	intake *intake
-	// transit tells how long attempts lay on their way here.
+	// transit measures how long attempts were queued on their way to this daemon.
 	transit *transit
-	// recent are the requests that the upstreams here have answered lately.
+	// recent holds the requests that the upstreams of this VM answered recently.
 	recent *suspect.Recent
 	stop   chan struct{}
-	// leaving says that other daemons are to send their calls elsewhere.
+	// leaving is set while this daemon drains: attempts from other daemons are refused so
+	// that they are sent elsewhere.
 	leaving atomic.Bool
-	// rollsOut says that a version is rolled out somewhere: callers are then told how
-	// long upstreams take.
-	rollsOut atomic.Bool
-	// lines bounds what is logged of attempts.
-	lines lineLimit
+	// rolloutActive is set while any rollout is in progress. Answers then carry the time
+	// that the upstream took.
+	rolloutActive atomic.Bool
+	// logLimit limits how many log lines are written about attempts.
+	logLimit lineLimit
 
 	mu     sync.Mutex
 	locals map[string]*local
@@ -76,20 +78,20 @@
 	addr  string
 	conns int
 	// process names the upstream's process, or is empty.
-	process string
-	pool    *pool
-	ending  ending
-	runs    runs
+	process  string
+	pool     *pool
+	crashes  crashDetector
+	attempts runningAttempts
 }
 
-// NewOwner returns an owner without upstreams. Close ends it.
+// NewOwner returns an owner without upstreams. Callers must call Close when done.
 func NewOwner(cfg OwnerConfig) *Owner {
 	if cfg.Suspects == nil {
 		cfg.Suspects = suspect.NewTable(cfg.Now)
 	}
 	o := &Owner{
 		cfg:    cfg,
-		ledger: newLedger(cfg.Now), running: newRunning(),
+		ledger: newLedger(cfg.Now), running: newRunningRequests(),
 		guard:   newStallGuard(boottime.Clock),
 		intake:  newIntake(cfg.LinkMbps, cfg.Now),
 		transit: newTransit(),
@@ -101,14 +103,14 @@
 	return o
 }
 
-// Close ends the owner's background work.
+// Close stops the owner's background goroutine.
 func (o *Owner) Close() { close(o.stop) }
 
-// Update takes the upstreams of a new view. An upstream that is draining or
-// no longer there takes no new attempt from here on; running ones finish.
+// Update replaces the upstreams with those of a new view. An upstream that is draining or
+// no longer listed accepts no new attempts; running attempts finish.
 func (o *Owner) Update(v *view.View) {
 	o.leaving.Store(v.Leaving)
-	o.rollsOut.Store(v.RollsOut())
+	o.rolloutActive.Store(v.RollsOut())
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	present := make(map[string]bool, len(v.Locals))
@@ -154,7 +156,7 @@
 	}
 }
 
-// InFlight returns how many attempts run or wait here.
+// InFlight returns the number of attempts that are running or queued at this owner.
 func (o *Owner) InFlight() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -166,7 +168,7 @@
 	return n
 }
 
-// Loads returns the load of each upstream here.
+// Loads returns the load of each upstream of this VM by upstream ID.
 func (o *Owner) Loads() map[string]outcome.Load {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/callpath/ownerhttp.go
+++ b/internal/callpath/ownerhttp.go
@@ -17,30 +17,30 @@
 	"github.com/comfreygate/comfreygate/internal/outcome"
 )
 
-// Paths of questions at the owner's listener.
+// Paths of queries about attempts at the owner's listener.
 const (
 	pathVoid    = "/.comfrey/void"
 	pathAttempt = "/.comfrey/attempt"
 )
 
-// Question names an attempt that an ingress asks its owner about.
+// Question is a query of an ingress about one of its attempts.
 type Question struct {
 	Attempt     string `json:"attempt"`
 	Incarnation uint64 `json:"inc"`
-	// LeftMs is how long the attempt still has, in milliseconds.
+	// LeftMs is the time left until the attempt's deadline, in milliseconds.
 	LeftMs int64 `json:"left_ms"`
 }
 
-// Reply tells the state of an attempt.
+// Reply is the answer to a Question.
 type Reply struct {
 	State State `json:"state"`
 }
 
-// maxQuestion bounds a question's body, in bytes.
+// maxQuestion is the largest accepted body of a query, in bytes.
 const maxQuestion = 4096
 
-// ServeHTTP takes attempts and questions from ingress daemons. An attempt is one whatever its
-// path: that is the caller's.
+// ServeHTTP handles attempts and queries from ingress daemons. An attempt is recognized
+// by its header, whatever its path: the path was chosen by the caller.
 func (o *Owner) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(headerAttempt) != "" {
 		o.serveAttempt(w, r)
@@ -48,11 +48,11 @@
 	}
 	switch r.URL.Path {
 	case pathVoid:
-		o.serveQuestion(w, r, func(q Question) State {
+		o.serveQuery(w, r, func(q Question) State {
 			return o.ledger.tryVoid(q.Attempt, o.cfg.Now().Add(time.Duration(q.LeftMs)*time.Millisecond))
 		})
 	case pathAttempt:
-		o.serveQuestion(w, r, func(q Question) State { return o.ledger.ask(q.Attempt) })
+		o.serveQuery(w, r, func(q Question) State { return o.ledger.ask(q.Attempt) })
 	case limits.PathReport, limits.PathLoans:
 		if o.cfg.Keeper == nil {
 			http.NotFound(w, r)
@@ -64,9 +64,9 @@
 	}
 }
 
-// serveQuestion answers for this incarnation only: an earlier one may have
-// started attempts that this one has never heard of.
-func (o *Owner) serveQuestion(w http.ResponseWriter, r *http.Request, answer func(Question) State) {
+// serveQuery answers a query about an attempt. It answers only for this incarnation: an
+// earlier one may have started attempts that this one has no record of.
+func (o *Owner) serveQuery(w http.ResponseWriter, r *http.Request, query func(Question) State) {
 	var q Question
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxQuestion)).Decode(&q)
 	switch {
@@ -76,8 +76,8 @@
 		http.Error(w, "another incarnation", http.StatusConflict)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		// The ingress has gone if this fails; it will take it as unknown.
-		_ = json.NewEncoder(w).Encode(Reply{State: answer(q)})
+		// If this fails, the ingress is gone or treats the attempt's outcome as unknown.
+		_ = json.NewEncoder(w).Encode(Reply{State: query(q)})
 	}
 }
 
@@ -89,7 +89,7 @@
 		return
 	}
 	hearSuspect(r.Header, o.cfg.Suspects)
-	o.takeOffTransit(r.Header, a)
+	o.deductTransitDelay(r.Header, a)
 	if a.Nested {
 		a.Lot = o.cfg.Dialect.lot(a.Request)
 	}
@@ -108,10 +108,10 @@
 	o.writeResult(w, res)
 }
 
-// takeOffTransit counts the time for which an attempt lay in queues on its way as
-// passed: its sender gave the time left as of when it was sent. An attempt from a
-// sender that does not say when that was keeps all of it.
-func (o *Owner) takeOffTransit(h http.Header, a *Attempt) {
+// deductTransitDelay shortens the attempt's deadline and objective by the time for which
+// it was queued in transit: the sender gave the time left as of sending. The times of an
+// attempt without a valid sent header are left as they are.
+func (o *Owner) deductTransitDelay(h http.Header, a *Attempt) {
 	us, err := strconv.ParseInt(h.Get(headerSent), 10, 64)
 	if err != nil {
 		return
@@ -123,23 +123,25 @@
 	}
 }
 
-// receive takes in an attempt from another VM and carries it. A long body is
-// asked for only once it is its turn, and the upstream has room as things are.
+// receive accepts an attempt from another VM and runs it. A long body is requested from
+// the sender only when its turn on the link has come and the upstream, by its current
+// load, would admit the attempt.
 func (o *Owner) receive(r *http.Request, a *Attempt) outcome.Result {
-	stalls := o.guard.stalls()
+	stalls := o.guard.stallCount()
 	loc, refusal := o.accept(a)
 	if loc == nil {
 		return o.refused(a, refusal)
 	}
-	if refusal, ok := o.takeBody(r, loc, a); !ok {
+	if refusal, ok := o.readBody(r, loc, a); !ok {
 		o.ledger.abandon(a.ID)
 		return o.refused(a, o.withLoad(refusal, loc))
 	}
 	return o.admit(r.Context(), loc, a, stalls)
 }
 
-// takeBody reads the body, when it may come. False: the attempt is refused.
-func (o *Owner) takeBody(r *http.Request, loc *local, a *Attempt) (outcome.Result, bool) {
+// readBody reads the attempt's body once it may be sent. If it returns false, the attempt
+// is refused with the returned result.
+func (o *Owner) readBody(r *http.Request, loc *local, a *Attempt) (outcome.Result, bool) {
 	if r.ContentLength >= outcome.LongBody {
 		if reason, after := loc.gate.Check(askOf(a)); reason != "" {
 			return outcome.Refuse(reason, after), false
@@ -160,7 +162,7 @@
 	return outcome.Result{}, true
 }
 
-// parseAttempt reads an attempt without its body.
+// parseAttempt parses an attempt from the headers of a request, without its body.
 func parseAttempt(r *http.Request, now time.Time) (*Attempt, error) {
 	h := r.Header
 	a := &Attempt{
@@ -204,8 +206,8 @@
 	return a, nil
 }
 
-// stripped returns the headers without those of comfreygate and those that
-// belong to one connection. Source: RFC 9110, section 7.6.1.
+// stripped returns the headers without the Comfrey- headers and without those that apply
+// to one connection only. See RFC 9110, section 7.6.1.
 func stripped(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
@@ -227,7 +229,7 @@
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// writeResult passes a result to an ingress daemon.
+// writeResult writes the result of an attempt as the response to an ingress.
 func (o *Owner) writeResult(w http.ResponseWriter, r outcome.Result) {
 	h := w.Header()
 	if r.Outcome == outcome.Answered {
@@ -240,7 +242,7 @@
 	if r.HasLoad {
 		h.Set(headerLoad, r.Load.Encode())
 	}
-	if r.Took > 0 && o.rollsOut.Load() {
+	if r.Took > 0 && o.rolloutActive.Load() {
 		h.Set(headerTook, strconv.FormatInt(r.Took.Microseconds(), 10))
 	}
 	if r.Outcome != outcome.Answered {
@@ -254,8 +256,8 @@
 	copyBody(w, r.Body)
 }
 
-// copyBody passes an answer on. If it is cut short, the connection is ended:
-// a part must never pass for the whole.
+// copyBody copies an answer's body to w. If the body is truncated, the connection is
+// aborted, so that the receiver cannot mistake a part for the whole.
 func copyBody(w http.ResponseWriter, body io.ReadCloser) {
 	_, err := io.Copy(w, body)
 	closeErr := body.Close()
--- a/internal/callpath/ownerrun.go
+++ b/internal/callpath/ownerrun.go
@@ -16,10 +16,10 @@
 	"github.com/comfreygate/comfreygate/internal/suspect"
 )
 
-// carry admits the attempt, runs it, and returns the
-// answer, whose body holds the slot until it is closed.
+// carry admits the attempt, runs it and returns the result. The attempt's slot is held
+// until the answer's body is closed.
 func (o *Owner) carry(ctx context.Context, a *Attempt) outcome.Result {
-	stalls := o.guard.stalls()
+	stalls := o.guard.stallCount()
 	loc, refusal := o.accept(a)
 	if loc == nil {
 		return o.refused(a, refusal)
@@ -27,10 +27,11 @@
 	return o.admit(ctx, loc, a, stalls)
 }
 
-// admit waits for a slot and runs an attempt that was accepted when the process
-// had stalled so many times.
-func (o *Owner) admit(ctx context.Context, loc *local, a *Attempt, stalls int64) outcome.Result {
-	if refusal, held := quarantined(o.cfg.Suspects, a, o.cfg.Now()); held {
+// admit waits for a slot and runs an accepted attempt. stallsBefore is the stall count at
+// the time of acceptance: if it has grown by the time the slot is free, the attempt is
+// refused.
+func (o *Owner) admit(ctx context.Context, loc *local, a *Attempt, stallsBefore int64) outcome.Result {
+	if refusal, blocked := quarantined(o.cfg.Suspects, a, o.cfg.Now()); blocked {
 		o.ledger.abandon(a.ID)
 		return o.refused(a, refusal)
 	}
@@ -39,31 +40,32 @@
 		o.ledger.abandon(a.ID)
 		return o.refused(a, o.withLoad(outcome.Refuse(reason, after), loc))
 	}
-	if reason := o.tooLate(ctx, a, stalls); reason != "" {
-		return o.giveBack(loc, a, outcome.Refuse(reason, 0))
+	if reason := o.recheckAfterWait(ctx, a, stallsBefore); reason != "" {
+		return o.refuseAdmitted(loc, a, outcome.Refuse(reason, 0))
 	}
-	if refusal := o.heldBack(loc, a); refusal.Reason != "" {
-		return o.giveBack(loc, a, refusal)
+	if refusal := o.checkSuspect(loc, a); refusal.Reason != "" {
+		return o.refuseAdmitted(loc, a, refusal)
 	}
 	if !o.ledger.start(a.ID) {
-		return o.giveBack(loc, a, outcome.Refuse(outcome.ReasonVoided, 0))
+		return o.refuseAdmitted(loc, a, outcome.Refuse(outcome.ReasonVoided, 0))
 	}
 	return o.run(ctx, loc, a)
 }
 
-// giveBack refuses an attempt that has a slot and does not use it.
-func (o *Owner) giveBack(loc *local, a *Attempt, r outcome.Result) outcome.Result {
-	loc.runs.leave(a)
+// refuseAdmitted releases the slot of an attempt that was admitted but not run, and
+// refuses the attempt.
+func (o *Owner) refuseAdmitted(loc *local, a *Attempt, r outcome.Result) outcome.Result {
+	loc.attempts.remove(a)
 	loc.gate.Release(0)
 	o.ledger.abandon(a.ID)
 	return o.refused(a, r)
 }
 
-// tooLate says why an attempt that has a slot must not start any more, or
-// nothing.
-func (o *Owner) tooLate(ctx context.Context, a *Attempt, stalls int64) outcome.Reason {
+// recheckAfterWait returns the reason why an attempt that has just got its slot must not
+// start any more, or "".
+func (o *Owner) recheckAfterWait(ctx context.Context, a *Attempt, stallsBefore int64) outcome.Reason {
 	switch {
-	case o.guard.stalls() != stalls || o.guard.stalled() || !o.cfg.Now().Before(a.Deadline):
+	case o.guard.stallCount() != stallsBefore || o.guard.stalled() || !o.cfg.Now().Before(a.Deadline):
 		return outcome.ReasonStalled
 	case callerGone(ctx):
 		return outcome.ReasonCancelled
@@ -71,7 +73,8 @@
 	return ""
 }
 
-// accept enters the attempt in the ledger, or says why it may not run here.
+// accept enters the attempt in the ledger and returns its upstream, or nil and the
+// refusal if the attempt may not run here.
 func (o *Owner) accept(a *Attempt) (*local, outcome.Result) {
 	if o.guard.stalled() {
 		return nil, outcome.Refuse(outcome.ReasonStalled, 0)
@@ -87,7 +90,7 @@
 	}
 	if reason, ok := o.ledger.receive(a); !ok {
 		if reason == outcome.ReasonDuplicate {
-			return nil, outcome.Unsure(outcome.ReasonDuplicate, errors.New("an earlier copy of this request was started"))
+			return nil, outcome.Unsure(outcome.ReasonDuplicate, errors.New("duplicate request: an earlier copy of it was already received"))
 		}
 		return nil, outcome.Refuse(reason, outcome.MinRetryAfter)
 	}
@@ -112,19 +115,19 @@
 	began := o.cfg.Now()
 	o.running.begin(a, loc.gate)
 	defer o.running.end(a)
-	res, err := loc.pool.do(ctx, o.upstreamRequest(loc, a), func(req *http.Request, waited time.Duration) outcome.Reason {
-		return o.lookAgain(ctx, req, a, waited)
+	res, err := loc.pool.do(ctx, o.upstreamRequest(loc, a), func(req *http.Request, connWait time.Duration) outcome.Reason {
+		return o.recheckBeforeSend(ctx, req, a, connWait)
 	})
 	if err != nil {
 		return o.failed(ctx, loc, a, began, err)
 	}
 	if r, refused := o.cfg.Dialect.refusal(res); refused {
-		// The rest of a refusal's body is of no use to anybody.
+		// Nobody uses the body of an upstream's refusal.
 		res.Body.Close()
-		return o.withLoad(o.giveBack(loc, a, r), loc)
+		return o.withLoad(o.refuseAdmitted(loc, a, r), loc)
 	}
-	body := &answerBody{ReadCloser: res.Body, read: func(err error) { o.noteRead(ctx, loc, a, res.StatusCode, err) }, done: func() {
-		loc.runs.leave(a)
+	body := &answerBody{ReadCloser: res.Body, read: func(err error) { o.bodyReadEnded(ctx, loc, a, res.StatusCode, err) }, done: func() {
+		loc.attempts.remove(a)
 		loc.gate.Release(o.cfg.Now().Sub(began))
 		o.ledger.finish(a.ID)
 	}}
@@ -140,19 +143,20 @@
 	return outcome.Result{Outcome: outcome.Answered, Status: res.StatusCode, Header: res.Header, Body: body, Load: load, HasLoad: true, Took: took}
 }
 
-// failed judges a request that brought no answer. Only a connection that was
-// never opened proves that the request did not run.
+// failed returns the result of a request that got no answer. The request is known not to
+// have run only if no connection could be opened or if it was withheld before anything
+// was sent; in all other cases it may have run.
 func (o *Owner) failed(ctx context.Context, loc *local, a *Attempt, began time.Time, err error) outcome.Result {
-	defer loc.runs.leave(a)
+	defer loc.attempts.remove(a)
 	err = errors.Wrapf(err, "call upstream %s at %s", a.Upstream, loc.addr)
-	reason, held := heldBack(err)
+	reason, unsent := heldBack(err)
 	if notSent(err) {
-		reason, held = outcome.ReasonUnreachable, true
+		reason, unsent = outcome.ReasonUnreachable, true
 	}
-	if held {
+	if unsent {
 		r := outcome.Refuse(reason, outcome.MinRetryAfter)
 		r.Err = err
-		return o.giveBack(loc, a, r)
+		return o.refuseAdmitted(loc, a, r)
 	}
 	loc.gate.Release(o.cfg.Now().Sub(began))
 	o.ledger.finish(a.ID)
@@ -160,32 +164,32 @@
 		o.logUnknown(loc, a, began, outcome.CancelReason(ctx), err)
 		return outcome.Unsure(outcome.CancelReason(ctx), err)
 	}
-	reason = o.whyBroken(ctx, loc, a)
+	reason = o.diagnoseFailure(ctx, loc, a)
 	o.logUnknown(loc, a, began, reason, err)
 	loc.pool.closeIdle()
 	return outcome.Unsure(reason, err)
 }
 
-// whyBroken tells whether the upstream has ended under an attempt, or only a connection
-// broke.
-func (o *Owner) whyBroken(ctx context.Context, loc *local, a *Attempt) outcome.Reason {
-	end, first := loc.ending.seen(ctx, loc.pool, o.cfg.Now, func() suspect.Digest { return loc.runs.culprit(o.cfg.Suspects) })
-	if end.n == 0 {
+// diagnoseFailure distinguishes a crash of the upstream from a broken connection, and
+// records the crash for the attempt's request.
+func (o *Owner) diagnoseFailure(ctx context.Context, loc *local, a *Attempt) outcome.Reason {
+	latest, first := loc.crashes.detect(ctx, loc.pool, o.cfg.Now, func() suspect.Digest { return loc.attempts.culprit(o.cfg.Suspects) })
+	if latest.n == 0 {
 		return outcome.ReasonBroken
 	}
 	o.cfg.Metrics.Ended.Inc(1)
-	o.charge(a, end)
+	o.recordCrash(a, latest)
 	if first {
 		o.cfg.Metrics.Ends.Inc(1)
-		o.cfg.Logger.Warn().Str("step", "upstream-ended").Str("peer", a.Upstream).Uint64("end", end.n).
-			Int("in_flight", loc.gate.Load().InFlight).Stringer("culprit", end.culprit).Msg("its process takes no connections any more")
+		o.cfg.Logger.Warn().Str("step", "upstream-ended").Str("peer", a.Upstream).Uint64("end", latest.n).
+			Int("in_flight", loc.gate.Load().InFlight).Stringer("culprit", latest.culprit).Msg("upstream crashed: its address refuses connections")
 	}
 	return outcome.ReasonEnded
 }
 
-// logUnknown says why nobody can tell whether an attempt has run.
+// logUnknown logs an attempt whose outcome is unknown.
 func (o *Owner) logUnknown(loc *local, a *Attempt, began time.Time, reason outcome.Reason, err error) {
-	if !mayLog(o.cfg.Logger, &o.lines, o.cfg.Now(), "run") {
+	if !mayLog(o.cfg.Logger, &o.logLimit, o.cfg.Now(), "run") {
 		return
 	}
 	l := loc.gate.Load()
@@ -210,25 +214,27 @@
 	return req
 }
 
-// noWait is what taking an idle connection takes: nothing that was looked at just before
-// it has changed meanwhile.
+// noWait is the longest time that getting an idle connection from the pool takes. If the
+// wait was not longer, the caller's connection need not be checked again: it was checked
+// just before.
 const noWait = time.Millisecond
 
-// lookAgain says why a request must not be sent after it has waited so long for a
-// connection to its upstream, or gives it the time that is left by now.
-func (o *Owner) lookAgain(ctx context.Context, req *http.Request, a *Attempt, waited time.Duration) outcome.Reason {
+// recheckBeforeSend is called once the request has a connection, after waiting connWait
+// for it. It returns the reason why the request must not be sent any more; otherwise it
+// sets the timeout header to the time left now.
+func (o *Owner) recheckBeforeSend(ctx context.Context, req *http.Request, a *Attempt, connWait time.Duration) outcome.Reason {
 	left := a.Deadline.Sub(o.cfg.Now())
 	switch {
 	case left <= 0:
 		return outcome.ReasonDeadline
-	case waited > noWait && callerGone(ctx):
+	case connWait > noWait && callerGone(ctx):
 		return outcome.ReasonCancelled
 	}
 	set(req.Header, o.cfg.Dialect.Timeout, strconv.FormatInt(left.Milliseconds(), 10))
 	return ""
 }
 
-// newRequest returns the request of an attempt to the address.
+// newRequest returns the HTTP request that carries an attempt to the address.
 func newRequest(a *Attempt, addr string) *http.Request {
 	url := *a.URL
 	url.Scheme = "http"
@@ -238,7 +244,7 @@
 		ContentLength: int64(len(a.Body)),
 	}
 	if _, ok := req.Header["User-Agent"]; !ok {
-		req.Header["User-Agent"] = nil // net/http would add its own
+		req.Header["User-Agent"] = nil // keeps net/http from adding its own
 	}
 	if len(a.Body) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(a.Body))
@@ -246,12 +252,14 @@
 	return req
 }
 
-// noteRead takes note of how the reading of an answer has ended.
-func (o *Owner) noteRead(ctx context.Context, loc *local, a *Attempt, status int, err error) {
+// bodyReadEnded is called once with the error that ended the reading of an answer's body.
+// A complete answer may clear its request as a suspect; a broken one may mean that the
+// upstream crashed.
+func (o *Owner) bodyReadEnded(ctx context.Context, loc *local, a *Attempt, status int, err error) {
 	switch {
 	case err == io.EOF:
-		o.answered(a, status)
+		o.recordAnswer(a, status)
 	case ctx.Err() == nil:
-		o.whyBroken(ctx, loc, a)
+		o.diagnoseFailure(ctx, loc, a)
 	}
 }
--- a/internal/callpath/pool.go
+++ b/internal/callpath/pool.go
@@ -14,20 +14,20 @@
 	"github.com/comfreygate/comfreygate/internal/outcome"
 )
 
-// pool sends requests over pooled connections to one address, one request at a
-// time on each. Unlike http.Transport it never sends a request twice, and it
-// runs on the caller's goroutine: waking two more for each request costs more
-// than the rest of a hop. Safe for concurrent use.
+// pool sends requests over pooled connections to one address, one request at a time on
+// each connection. Unlike http.Transport it never sends a request twice, and it runs on
+// the caller's goroutine: waking the transport's two extra goroutines for each request
+// costs more than the rest of a hop. It is safe for concurrent use.
 type pool struct {
 	dialer *net.Dialer
 	addr   string
 	// idleTimeout is how long an idle connection is kept.
 	idleTimeout time.Duration
 	dialect     Dialect
-	// unacked bounds how long sent bytes may stay unacknowledged; zero: the
-	// system's own bound, minutes.
+	// unacked limits how long sent bytes may stay unacknowledged; zero means the system's
+	// default, which is minutes.
 	unacked time.Duration
-	// tokens holds one token per connection that may be open, or is nil.
+	// tokens holds one token per open connection; nil if their number is unlimited.
 	tokens chan struct{}
 
 	mu     sync.Mutex
@@ -38,49 +38,51 @@
 // clientConn is a pooled connection.
 type clientConn struct {
 	net.Conn
-	pool  *pool
-	br    *bufio.Reader
-	bw    *bufio.Writer
-	since time.Time
-	// spoiled is set once the connection must not be used again. Only the
-	// goroutine that holds the connection uses it.
+	pool      *pool
+	br        *bufio.Reader
+	bw        *bufio.Writer
+	idleSince time.Time
+	// spoiled is set once the connection must not be reused. Only the goroutine that
+	// holds the connection accesses it.
 	spoiled bool
 }
 
-// dialError says that no connection could be opened: nothing was sent.
+// dialError reports that no connection could be opened, so that nothing was sent.
 type dialError struct{ err error }
 
-// Error returns the cause.
+// Error returns the message of the cause.
 func (e *dialError) Error() string { return e.err.Error() }
 
-// heldBackError says that a request was not sent: while it waited for a connection its
-// caller has gone, or its time.
-type heldBackError struct{ reason outcome.Reason }
+// withheldError reports that a request was not sent because its caller disconnected or
+// its deadline passed while it waited for a connection.
+type withheldError struct{ reason outcome.Reason }
 
 // Error implements error.
-func (e *heldBackError) Error() string { return "not sent: " + string(e.reason) }
+func (e *withheldError) Error() string { return "request not sent: " + string(e.reason) }
 
-// notSent reports whether an error of do proves that nothing was sent.
+// notSent reports whether an error of do proves that no connection could be opened and
+// nothing was sent.
 func notSent(err error) bool {
 	var d *dialError
 	return errors.As(err, &d)
 }
 
-// heldBack returns why a request was held back, if it was.
+// heldBack returns the reason why a request was withheld, and whether it was.
 func heldBack(err error) (outcome.Reason, bool) {
-	var h *heldBackError
+	var h *withheldError
 	if !errors.As(err, &h) {
 		return "", false
 	}
 	return h.reason, true
 }
 
-// lastLook is taken at a request when its connection is there, before anything of it is
-// sent. waited is how long the request waited for it. A reason holds the request back.
-type lastLook func(req *http.Request, waited time.Duration) outcome.Reason
+// preSendCheck is called with a request once its connection is available, before any of
+// it is sent. waited is how long the request waited for the connection. If it returns a
+// reason, the request is not sent.
+type preSendCheck func(req *http.Request, waited time.Duration) outcome.Reason
 
-// newPool returns a pool that opens at most max connections, or any number
-// if max is 0.
+// newPool returns a pool that opens at most maxConns connections, or any number if
+// maxConns is 0.
 func newPool(dialer *net.Dialer, addr string, maxConns int, idleTimeout time.Duration, dialect Dialect) *pool {
 	p := &pool{dialer: dialer, addr: addr, idleTimeout: idleTimeout, dialect: dialect}
 	if maxConns > 0 {
@@ -89,18 +91,18 @@
 	return p
 }
 
-// do sends a request and reads the head of the answer. When ctx ends, the
-// request's connection is given up, also while the answer's body is read.
-// The receiver closes the body.
-func (p *pool) do(ctx context.Context, req *http.Request, look lastLook) (*http.Response, error) {
+// do sends a request and reads the head of the answer. When ctx ends, the request's
+// connection is aborted, even while the answer's body is being read. The caller must
+// close the body.
+func (p *pool) do(ctx context.Context, req *http.Request, check preSendCheck) (*http.Response, error) {
 	began := time.Now()
 	c, err := p.get(ctx)
 	if err != nil {
 		return nil, &dialError{err}
 	}
-	if reason := look(req, time.Since(began)); reason != "" {
+	if reason := check(req, time.Since(began)); reason != "" {
 		p.put(c)
-		return nil, &heldBackError{reason}
+		return nil, &withheldError{reason}
 	}
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	res, err := c.roundTrip(req)
@@ -109,7 +111,7 @@
 		c.discard()
 		return nil, err
 	}
-	res.Body = &pooledBody{Reader: res.Body, conn: c, stop: stop, keep: !res.Close}
+	res.Body = &pooledBody{Reader: res.Body, conn: c, stop: stop, reusable: !res.Close}
 	return res, nil
 }
 
@@ -121,10 +123,10 @@
 		return c.receive(req, nil)
 	}
 	sent := make(chan error, 1)
-	held := holdBody(req, c.bw.Flush)
+	body := deferBody(req, c.bw.Flush)
 	go func() { sent <- c.send(req) }()
-	res, err := c.receive(req, held)
-	held.decide(false)
+	res, err := c.receive(req, body)
+	body.resolve(false)
 	select {
 	case sendErr := <-sent:
 		if err != nil && sendErr != nil {
@@ -132,7 +134,8 @@
 		}
 		c.spoiled = c.spoiled || sendErr != nil
 	default:
-		// The rest of the body would be read as the next request.
+		// If the connection were reused, the unsent rest of the body would be read as the
+		// start of the next request.
 		c.spoiled = true
 	}
 	return res, err
@@ -145,42 +148,43 @@
 	return errors.Wrap(c.bw.Flush(), "write request")
 }
 
-// receive reads the head of the answer to the request. A body that is held is
-// let go when the other end asks for it.
-func (c *clientConn) receive(req *http.Request, held *heldBody) (*http.Response, error) {
+// receive reads the head of the answer to the request. A deferred body is sent when the
+// other end answers 100 Continue.
+func (c *clientConn) receive(req *http.Request, body *deferredBody) (*http.Response, error) {
 	for {
 		res, err := http.ReadResponse(c.br, req)
 		if err != nil {
 			return nil, errors.Wrap(err, "read answer")
 		}
-		// Interim answers come before the final one.
+		// Interim (1xx) answers precede the final one.
 		if res.StatusCode < http.StatusOK {
 			if res.StatusCode == http.StatusContinue {
-				held.decide(true)
+				body.resolve(true)
 			}
 			continue
 		}
 		if !c.pool.dialect.foreign(req, res) {
 			return res, nil
 		}
-		if err := c.skip(res); err != nil {
+		if err := c.skipForeign(res); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// maxForeign bounds an answer to another request that is read past, in bytes.
-const maxForeign = 1 << 20
+// maxForeignBytes is the largest body, in bytes, of an answer to another request that is
+// read and discarded.
+const maxForeignBytes = 1 << 20
 
-// skip reads past an answer that belongs to an earlier request: the one to
-// this request follows it, and the request may be running.
-func (c *clientConn) skip(res *http.Response) error {
+// skipForeign discards an answer that belongs to an earlier request: the answer to this
+// request follows it, and this request may already be running.
+func (c *clientConn) skipForeign(res *http.Response) error {
 	c.spoiled = true
-	if res.Close || res.ContentLength > maxForeign {
-		return errors.New("answer to another request ends the connection")
+	if res.Close || res.ContentLength > maxForeignBytes {
+		return errors.New("cannot skip answer to another request: it is too long or closes the connection")
 	}
 	_, err := io.Copy(io.Discard, res.Body)
-	return errors.Wrap(err, "read past an answer to another request")
+	return errors.Wrap(err, "skip answer to another request")
 }
 
 // get returns an idle connection that is still open, or a new one.
@@ -193,7 +197,7 @@
 		}
 	}
 	for c := p.pop(); c != nil; c = p.pop() {
-		if time.Since(c.since) < p.idleTimeout && stillOpen(c.Conn) {
+		if time.Since(c.idleSince) < p.idleTimeout && stillOpen(c.Conn) {
 			return c, nil
 		}
 		c.Close()
@@ -203,10 +207,10 @@
 		p.returnToken()
 		return nil, err
 	}
-	if err := boundUnacked(conn, p.unacked); err != nil {
+	if err := setUnackedTimeout(conn, p.unacked); err != nil {
 		conn.Close()
 		p.returnToken()
-		return nil, errors.Wrap(err, "bound unacknowledged bytes")
+		return nil, errors.Wrap(err, "set timeout for unacknowledged bytes")
 	}
 	return newClientConn(p, conn), nil
 }
@@ -221,7 +225,7 @@
 	}
 }
 
-// pop takes the connection that was used last.
+// pop removes and returns the connection that was used most recently, or nil.
 func (p *pool) pop() *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -233,9 +237,9 @@
 	return c
 }
 
-// put keeps a connection for the next request.
+// put returns a connection to the pool for the next request.
 func (p *pool) put(c *clientConn) {
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	p.idle = append(p.idle, c)
 	if p.reaper == nil {
@@ -245,18 +249,18 @@
 	p.returnToken()
 }
 
-// discard closes a connection that cannot be used again.
+// discard closes a connection that must not be reused.
 func (c *clientConn) discard() {
 	c.Close()
 	c.pool.returnToken()
 }
 
-// reap closes the connections that were idle too long.
+// reap closes the connections that have been idle for longer than idleTimeout.
 func (p *pool) reap() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old := 0
-	for old < len(p.idle) && time.Since(p.idle[old].since) >= p.idleTimeout {
+	for old < len(p.idle) && time.Since(p.idle[old].idleSince) >= p.idleTimeout {
 		p.idle[old].Close()
 		old++
 	}
@@ -277,30 +281,31 @@
 	p.idle = nil
 }
 
-// pooledBody gives the connection back once the answer was read to its end,
-// and closes it if it was not.
+// pooledBody is the body of an answer. Close returns the connection to the pool if the
+// body was read to its end, and closes it otherwise.
 type pooledBody struct {
 	io.Reader
-	conn  *clientConn
-	stop  func() bool
-	keep  bool
-	ended bool
-	once  sync.Once
+	conn     *clientConn
+	stop     func() bool
+	reusable bool
+	atEOF    bool
+	once     sync.Once
 }
 
 // Read implements io.Reader.
 func (b *pooledBody) Read(buf []byte) (int, error) {
 	n, err := b.Reader.Read(buf)
-	b.ended = b.ended || err == io.EOF
+	b.atEOF = b.atEOF || err == io.EOF
 	return n, err
 }
 
 // Close implements io.Closer.
 func (b *pooledBody) Close() error {
 	b.once.Do(func() {
-		// A context that has ended has touched the connection's deadline.
-		whole := b.ended && b.conn.br.Buffered() == 0
-		if b.stop() && whole && b.keep && !b.conn.spoiled {
+		// b.stop reports false if the context has ended: the connection's deadline has
+		// been changed then, and the connection cannot be reused.
+		complete := b.atEOF && b.conn.br.Buffered() == 0
+		if b.stop() && complete && b.reusable && !b.conn.spoiled {
 			b.conn.pool.put(b.conn)
 			return
 		}
--- a/internal/callpath/pool_linux.go
+++ b/internal/callpath/pool_linux.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// stillOpen looks at an idle connection without waiting. One that the other
-// end has closed, or that holds bytes nobody asked for, must not be used.
+// stillOpen reports, without waiting, whether an idle connection can be reused: the other
+// end has not closed it, and it holds no unexpected bytes.
 func stillOpen(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -29,11 +29,12 @@
 	return err == nil && open
 }
 
-// boundUnacked ends a connection on which sent bytes stay unacknowledged for so
-// long. Zero leaves the system's bound. Source: tcp(7), TCP_USER_TIMEOUT.
-func boundUnacked(c net.Conn, limit time.Duration) error {
+// setUnackedTimeout makes the system close a connection on which sent bytes stay
+// unacknowledged for longer than timeout. Zero keeps the system's default. See tcp(7),
+// TCP_USER_TIMEOUT.
+func setUnackedTimeout(c net.Conn, timeout time.Duration) error {
 	sc, ok := c.(syscall.Conn)
-	if !ok || limit == 0 {
+	if !ok || timeout == 0 {
 		return nil
 	}
 	raw, err := sc.SyscallConn()
@@ -42,7 +43,7 @@
 	}
 	var setErr error
 	err = raw.Control(func(fd uintptr) {
-		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
--- a/internal/callpath/pool_linux_test.go
+++ b/internal/callpath/pool_linux_test.go
@@ -13,10 +13,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestConnectionsToOwnersBoundWhatIsUnacknowledged: without a bound the kernel
-// goes on sending for minutes to a VM that is cut off, and calls that go there
-// wait until their deadline.
-func TestConnectionsToOwnersBoundWhatIsUnacknowledged(t *testing.T) {
+// TestOwnerConnectionsLimitUnacknowledgedTime: without the limit, the kernel retransmits
+// for minutes to a VM that is partitioned, and calls sent to it wait until their
+// deadline.
+func TestOwnerConnectionsLimitUnacknowledgedTime(t *testing.T) {
 	is := is.New(t)
 	srv := httptest.NewServer(http.NotFoundHandler())
 	defer srv.Close()
--- a/internal/callpath/pool_other.go
+++ b/internal/callpath/pool_other.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// stillOpen cannot look at the connection here and takes it for open.
+// stillOpen cannot check the connection on this system and assumes that it is open.
 func stillOpen(net.Conn) bool { return true }
 
-// boundUnacked cannot bound this here: a question to the owner finds out later.
-func boundUnacked(net.Conn, time.Duration) error { return nil }
+// setUnackedTimeout has no effect on this system: an unresponsive owner is detected
+// later, by a query to it.
+func setUnackedTimeout(net.Conn, time.Duration) error { return nil }
--- a/internal/callpath/running.go
+++ b/internal/callpath/running.go
@@ -7,46 +7,49 @@
 	"github.com/comfreygate/comfreygate/internal/config"
 )
 
-// running holds the requests that run at the upstreams of this VM, so that
-// their calls can be told from those of other callers. Safe for concurrent use.
-type running struct {
+// runningRequests holds the requests that are running at the upstreams of this VM, so
+// that nested calls can be recognized. It is safe for concurrent use.
+type runningRequests struct {
 	mu       sync.Mutex
-	requests map[string]parent
+	requests map[string]parentRequest
 }
 
-// parent is what calls made for a request inherit from it.
-type parent struct {
+// parentRequest holds what nested calls inherit from the request that makes them.
+type parentRequest struct {
 	urgency  config.Urgency
 	flow     string
 	repeated bool
 	gate     *admission.Gate
 }
 
-func newRunning() *running { return &running{requests: map[string]parent{}} }
+func newRunningRequests() *runningRequests {
+	return &runningRequests{requests: map[string]parentRequest{}}
+}
 
-func (r *running) begin(a *Attempt, g *admission.Gate) {
+func (r *runningRequests) begin(a *Attempt, g *admission.Gate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.requests[a.Request] = parent{urgency: a.Urgency, flow: a.Flow, repeated: a.Repeated, gate: g}
+	r.requests[a.Request] = parentRequest{urgency: a.Urgency, flow: a.Flow, repeated: a.Repeated, gate: g}
 }
 
-func (r *running) end(a *Attempt) {
+func (r *runningRequests) end(a *Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.requests, a.Request)
 }
 
-// parent returns a request, if it runs here.
-func (r *running) parent(request string) (parent, bool) {
+// parent returns the request with this ID and whether it is running on this VM.
+func (r *runningRequests) parent(request string) (parentRequest, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p, ok := r.requests[request]
 	return p, ok
 }
 
-// nest marks a call that an upstream of this VM makes for a request it is
-// running, and gives it that request's urgency. A route's own urgency would let the
-// calls of less urgent requests go before those of more urgent ones.
+// nest marks a call as nested if an upstream of this VM makes it for a request that it is
+// running, and lets it inherit that request's urgency. With the urgency of the nested
+// call's own route, the nested calls of less urgent requests could be served before those
+// of more urgent ones.
 func (in *Ingress) nest(a *Attempt) {
 	if in.cfg.Dialect.Parent == nil || in.owner == nil {
 		return
--- a/internal/callpath/running_test.go
+++ b/internal/callpath/running_test.go
@@ -10,12 +10,12 @@
 	"github.com/comfreygate/comfreygate/internal/config"
 )
 
-// TestNestedCallsRankWithTheirParent covers a service whose calls lead to
-// another one that is short of slots: a refused call there wastes the slot of
-// its parent, which is worth ten times the call's own work.
-func TestNestedCallsRankWithTheirParent(t *testing.T) {
+// TestNestedCallsInheritParentUrgency covers nested calls to a service that is short of
+// slots: a nested call that is refused there wastes the work of its parent, which is
+// worth ten times the nested call's own.
+func TestNestedCallsInheritParentUrgency(t *testing.T) {
 	is := is.New(t)
-	owner := &Owner{running: newRunning()}
+	owner := &Owner{running: newRunningRequests()}
 	in := &Ingress{owner: owner, cfg: IngressConfig{Dialect: Dialect{Parent: func(id string) string {
 		if id == "parent.child" {
 			return "parent"
@@ -25,7 +25,7 @@
 	parent := &Attempt{Request: "parent", Urgency: config.Critical}
 	child := &Attempt{Request: "parent.child", Urgency: config.Background}
 	in.nest(child)
-	is.True(!child.Nested) // no such request runs here: anybody can write an ID
+	is.True(!child.Nested) // no such request runs here: callers choose IDs freely
 	owner.running.begin(parent, admission.New(time.Now, 1, 1, time.Time{}))
 	in.nest(child)
 	is.True(child.Nested)
@@ -33,7 +33,7 @@
 	is.Equal(child.ParentServed, permille)
 	urgent := &Attempt{Request: "parent.child", Urgency: config.MostUrgent}
 	in.nest(urgent)
-	is.Equal(urgent.Urgency, config.Critical) // no more than its parent
+	is.Equal(urgent.Urgency, config.Critical) // not more urgent than its parent
 	other := &Attempt{Request: "other", Urgency: config.Critical}
 	in.nest(other)
 	is.True(!other.Nested)
--- a/internal/callpath/runs.go
+++ b/internal/callpath/runs.go
@@ -7,20 +7,21 @@
 	"github.com/comfreygate/comfreygate/internal/suspect"
 )
 
-// runs are the attempts that an upstream works at. Safe for concurrent use.
-type runs struct {
+// runningAttempts holds the attempts that are running at an upstream. It is safe for
+// concurrent use.
+type runningAttempts struct {
 	mu       sync.Mutex
 	attempts map[*Attempt]struct{}
 }
 
-// enter adds an attempt, or says why it must not run beside the others. A suspect runs in
-// one copy at a time, since each copy more ends with the upstream and tells nothing. One
-// that is a step from quarantine does not run beside another suspect: of the two nobody
-// could tell then which ends the upstream.
-func (r *runs) enter(t *suspect.Table, a *Attempt) outcome.Reason {
+// tryAdd adds an attempt, or returns the reason why it must not run beside the others.
+// Only one copy of a suspect runs at a time: more copies would be lost in the same crash
+// without telling anything more. A suspect that is one crash short of quarantine does not
+// run beside another suspect, since a crash could then be attributed to neither of them.
+func (r *runningAttempts) tryAdd(t *suspect.Table, a *Attempt) outcome.Reason {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if reason := r.bars(t, a); reason != "" {
+	if reason := r.conflict(t, a); reason != "" {
 		return reason
 	}
 	if r.attempts == nil {
@@ -30,10 +31,11 @@
 	return ""
 }
 
-// bars says which of the others keeps an attempt out. The caller holds the lock.
-func (r *runs) bars(t *suspect.Table, a *Attempt) (reason outcome.Reason) {
-	own := endsUnder(t, a)
-	if own == 0 {
+// conflict returns the reason why the attempts that are running keep out the given one,
+// or "". The caller must hold r.mu.
+func (r *runningAttempts) conflict(t *suspect.Table, a *Attempt) (reason outcome.Reason) {
+	crashes := endsUnder(t, a)
+	if crashes == 0 {
 		return ""
 	}
 	for other := range r.attempts {
@@ -41,43 +43,44 @@
 		if d == a.digest() {
 			return outcome.ReasonTried
 		}
-		if ends := t.Ends(d); ends > 0 && max(own, ends) >= stepFrom {
+		if otherCrashes := t.Ends(d); otherCrashes > 0 && max(crashes, otherCrashes) >= isolationThreshold {
 			reason = outcome.ReasonApart
 		}
 	}
 	return reason
 }
 
-func (r *runs) leave(a *Attempt) {
+func (r *runningAttempts) remove(a *Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.attempts, a)
 }
 
-// culprit returns the request to which the end that has come under all of these is put
-// down: the one that was a step from quarantine, or beyond, if there was one only. Zero:
-// it proves nothing against any one of them.
-func (r *runs) culprit(t *suspect.Table) suspect.Digest {
+// culprit returns the request to which a crash under all these attempts is attributed:
+// the one with the most crashes, if it was at most one crash short of quarantine and no
+// other request has as many. Otherwise it returns zero: the crash is evidence against no
+// particular request.
+func (r *runningAttempts) culprit(t *suspect.Table) suspect.Digest {
 	if !t.Any() {
 		return 0
 	}
-	most, who, several := stepFrom-1, suspect.Digest(0), false
+	most, candidate, ambiguous := isolationThreshold-1, suspect.Digest(0), false
 	for _, d := range r.digests() {
 		switch n := t.Ends(d); {
 		case n > most:
-			most, who, several = n, d, false
-		case n == most && n >= stepFrom && who != d:
-			several = true
+			most, candidate, ambiguous = n, d, false
+		case n == most && n >= isolationThreshold && candidate != d:
+			ambiguous = true
 		}
 	}
-	if several {
+	if ambiguous {
 		return 0
 	}
-	return who
+	return candidate
 }
 
-// digests returns those of the attempts.
-func (r *runs) digests() []suspect.Digest {
+// digests returns the digests of the running attempts' requests.
+func (r *runningAttempts) digests() []suspect.Digest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []suspect.Digest
--- a/internal/callpath/stall.go
+++ b/internal/callpath/stall.go
@@ -6,64 +6,65 @@
 )
 
 const (
-	// stallTick is how often a running daemon notes that it runs.
-	stallTick = 50 * time.Millisecond
-	// stallLimit is the gap in the notes that counts as a stall.
-	stallLimit = 250 * time.Millisecond
-	// stallHold is how long after a stall new attempts are refused: requests
-	// that lay in the sockets meanwhile are read within it.
-	stallHold = 20 * time.Millisecond
+	// stallCheckInterval is the interval at which a running daemon records that it is
+	// running.
+	stallCheckInterval = 50 * time.Millisecond
+	// stallThreshold is the gap between two of these records that counts as a stall.
+	stallThreshold = 250 * time.Millisecond
+	// stallRefusalPeriod is how long after a stall new attempts are refused: requests
+	// that were waiting in the sockets during the stall are read within it.
+	stallRefusalPeriod = 20 * time.Millisecond
 )
 
-// stallGuard notices that this process did not run for a while, as after
-// SIGSTOP or a paused VM. Requests that lay in its sockets meanwhile may have
-// been given up by their callers, so they are refused as not run.
+// stallGuard detects that this process was not running for a while, for example after
+// SIGSTOP or while the VM was paused. The callers of requests that were waiting in its
+// sockets may have given up, so these requests are refused as not run.
 type stallGuard struct {
-	last  atomic.Int64
-	until atomic.Int64
-	// count grows with each stall.
+	lastTick    atomic.Int64
+	refuseUntil atomic.Int64
+	// count is the number of stalls so far.
 	count atomic.Int64
-	// now must go on while the VM is suspended, and never jump: a time of day that
-	// is set is no stall.
+	// now must keep advancing while the VM is suspended and must never jump: setting the
+	// time of day is not a stall.
 	now func() time.Time
 }
 
 func newStallGuard(now func() time.Time) *stallGuard {
 	g := &stallGuard{now: now}
-	g.last.Store(now().UnixNano())
+	g.lastTick.Store(now().UnixNano())
 	return g
 }
 
-// run notes the passage of time until stop is closed.
+// run records regularly that the process is running, until stop is closed.
 func (g *stallGuard) run(stop <-chan struct{}) {
-	ticker := time.NewTicker(stallTick)
+	ticker := time.NewTicker(stallCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
 			g.stalled()
-			g.last.Store(g.now().UnixNano())
+			g.lastTick.Store(g.now().UnixNano())
 		case <-stop:
 			return
 		}
 	}
 }
 
-// stalls returns how many stalls there were. An attempt that has waited through
-// one may have been answered meanwhile: the clock by which its deadline is kept
-// may have stood still.
-func (g *stallGuard) stalls() int64 {
+// stallCount returns the number of stalls so far. If it changes while an attempt waits,
+// the attempt must not start: its caller may already have got an answer, since the clock
+// by which its deadline is checked may have stood still.
+func (g *stallGuard) stallCount() int64 {
 	g.stalled()
 	return g.count.Load()
 }
 
-// stalled reports whether the process has just come back from a stall.
+// stalled reports whether the process has resumed from a stall within stallRefusalPeriod.
 func (g *stallGuard) stalled() bool {
 	now := g.now().UnixNano()
-	if now-g.last.Load() > int64(stallLimit) {
+	if now-g.lastTick.Load() > int64(stallThreshold) {
 		g.count.Add(1)
-		g.last.Store(now)
-		g.until.Store(now + int64(stallHold))
+		g.lastTick.Store(now)
+		g.refuseUntil.Store(now + int64(stallRefusalPeriod))
 	}
-	return now < g.until.Load()
+	return now < g.refuseUntil.Load()
 }
--- a/internal/callpath/stall_test.go
+++ b/internal/callpath/stall_test.go
@@ -8,23 +8,23 @@
 	"github.com/matryer/is"
 )
 
-// TestStallIsNoticedLongAfterIt moves the time of day ahead, as after a
-// suspended VM: whoever waited through it must learn of it, however late it
-// asks, and also if the guard's own goroutine woke first.
-func TestStallIsNoticedLongAfterIt(t *testing.T) {
+// TestStallIsReportedToAttemptsThatWaited advances the clock as a suspended VM does. An
+// attempt that waited through the stall must see the stall count change, however late it
+// checks, even if the guard's own goroutine noticed the stall first.
+func TestStallIsReportedToAttemptsThatWaited(t *testing.T) {
 	is := is.New(t)
 	var at atomic.Int64
 	at.Store(time.Unix(1000, 0).UnixNano())
 	g := newStallGuard(func() time.Time { return time.Unix(0, at.Load()) })
-	before := g.stalls()
+	before := g.stallCount()
 	at.Add(int64(3 * time.Second))
 	is.True(g.stalled())
-	for range 50 { // the guard's goroutine goes on
-		at.Add(int64(stallTick))
+	for range 50 { // the guard's goroutine keeps recording
+		at.Add(int64(stallCheckInterval))
 		g.stalled()
-		g.last.Store(at.Load())
+		g.lastTick.Store(at.Load())
 	}
-	is.True(!g.stalled())          // new attempts are taken again
-	is.True(g.stalls() != before)  // one that waited through it is not run
-	is.Equal(g.stalls(), before+1) // and is told once
+	is.True(!g.stalled())              // new attempts are accepted again
+	is.True(g.stallCount() != before)  // an attempt that waited through it is not run
+	is.Equal(g.stallCount(), before+1) // the stall is counted once
 }
--- a/internal/callpath/stop_test.go
+++ b/internal/callpath/stop_test.go
@@ -12,10 +12,10 @@
 	"github.com/comfreygate/comfreygate/internal/outcome"
 )
 
-// TestFinishTellsThoseWhoWaitThatNothingRan ends a daemon's calls while one runs
-// and one waits for the slot: what waits has not run and must be told so, not
-// cut; what runs cannot be known.
-func TestFinishTellsThoseWhoWaitThatNothingRan(t *testing.T) {
+// TestFinishRefusesQueuedAttemptsAsNotRun stops a daemon's calls while one is running and
+// one is waiting for the slot. The waiting one must be reported as not run rather than
+// dropped; the outcome of the running one is unknown.
+func TestFinishRefusesQueuedAttemptsAsNotRun(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 1, 1, 5*time.Second)
 	outcomes := make(chan string, 2)
@@ -35,8 +35,8 @@
 	is.Equal(w.runs.Load(), int64(1))
 }
 
-// TestLateCallsToAStoppingDaemonAreRefused sends a call when the process could
-// no longer be sure to answer it.
+// TestLateCallsToAStoppingDaemonAreRefused covers a call that arrives when the process
+// may exit before it could answer the call.
 func TestLateCallsToAStoppingDaemonAreRefused(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 1, 1, time.Millisecond)
@@ -47,10 +47,10 @@
 	is.Equal(r.workers[0].runs.Load(), int64(0))
 }
 
-// TestFinishWaitsForNobody: the owner of an attempt that runs cannot be asked any more,
-// as over a link that holds packets. Its caller is answered within the time that a
-// stopping process has left for its last answers.
-func TestFinishWaitsForNobody(t *testing.T) {
+// TestFinishDoesNotWaitForUnreachableOwner covers a running attempt whose owner cannot be
+// queried any more, for example because the link drops packets. Its caller must be
+// answered within the time that a stopping process has for its last answers.
+func TestFinishDoesNotWaitForUnreachableOwner(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 1, 1, 5*time.Second)
 	got := make(chan string, 1)
@@ -58,7 +58,7 @@
 	for r.workers[0].owner.InFlight() < 1 {
 		time.Sleep(time.Millisecond)
 	}
-	// Questions go to nobody: a listener that accepts nothing more.
+	// Queries to the owner get no connection until they time out.
 	r.ingress.remote.asker.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
--- a/internal/callpath/suspects.go
+++ b/internal/callpath/suspects.go
@@ -9,38 +9,40 @@
 	"github.com/comfreygate/comfreygate/internal/suspect"
 )
 
-// A request that ends the upstreams which run it is run on few of them: whatever copies
-// of it come, wherever and under whatever ID, count as one request. An upstream that ends
-// makes suspects of those that ran there; an answer clears one. The copies of a suspect go
-// to one upstream of all, and run there one at a time, so that those that come at once end
-// one and not several; with two ends it runs beside no other suspect, so that the third end
-// tells which of them it is; with three it is refused.
+// Containment of poison requests, which crash the upstreams that run them: all copies of a
+// request count as one request, wherever they enter and under whatever ID. When an upstream
+// crashes, the requests that were running there become suspects; an answer clears a suspect.
+// All copies of a suspect are sent to the same upstream and run there one at a time, so that
+// copies sent at the same time crash one upstream and not several. A suspect with two
+// crashes runs beside no other suspect, so that the third crash identifies the poison
+// request. A request with three crashes is quarantined: it is refused.
 
-// quarantineSettles is how old a quarantine is when it stands: one that was put on a
-// request which ended nothing ends with the next answer of a copy that was running.
-const quarantineSettles = time.Second
+// quarantineSettleTime is the age from which a quarantine is considered settled. Before
+// that, a quarantine that hit a harmless request may still be lifted by the answer of a
+// copy that was already running.
+const quarantineSettleTime = time.Second
 
-// quarantined reports whether an attempt's request is run no more, and the answer to it.
-// Once the quarantine stands, to come back soon serves nobody: it takes a repair of the
-// upstream, or of the caller.
+// quarantined reports whether an attempt's request is quarantined, and the refusal to
+// return for it. A settled quarantine asks callers for the longest wait: retrying soon is
+// of no use until the upstream or the caller has been repaired.
 func quarantined(t *suspect.Table, a *Attempt, now time.Time) (outcome.Result, bool) {
-	rec := recordOf(t, a)
+	rec := suspectRecord(t, a)
 	if !rec.Quarantined() {
 		return outcome.Result{}, false
 	}
-	if left := quarantineSettles - now.Sub(time.UnixMilli(rec.At)); left > 0 {
-		return outcome.Refuse(outcome.ReasonQuarantined, min(left, quarantineSettles)), true
+	if left := quarantineSettleTime - now.Sub(time.UnixMilli(rec.At)); left > 0 {
+		return outcome.Refuse(outcome.ReasonQuarantined, min(left, quarantineSettleTime)), true
 	}
 	return outcome.Refuse(outcome.ReasonQuarantined, outcome.MaxRetryAfter), true
 }
 
-// triedRetry is when a copy of a suspect that is being tried may come back: by then most
-// runs have ended, one way or the other.
-const triedRetry = 100 * time.Millisecond
+// suspectRetryAfter is the retry-after time for copies of a suspect that is running: by
+// then most runs have finished or crashed.
+const suspectRetryAfter = 100 * time.Millisecond
 
-// recordOf returns what is known of an attempt's request. Where nothing is suspected the
-// request is not even hashed.
-func recordOf(t *suspect.Table, a *Attempt) suspect.Record {
+// suspectRecord returns the suspect record of an attempt's request. While there are no
+// suspects at all, the request is not even hashed.
+func suspectRecord(t *suspect.Table, a *Attempt) suspect.Record {
 	if !t.Any() {
 		return suspect.Record{}
 	}
@@ -48,54 +50,57 @@
 	return rec
 }
 
-// endsUnder returns how many upstreams have ended under an attempt's request.
-func endsUnder(t *suspect.Table, a *Attempt) int { return len(recordOf(t, a).Ends) }
+// endsUnder returns how many crashes are recorded for an attempt's request.
+func endsUnder(t *suspect.Table, a *Attempt) int { return len(suspectRecord(t, a).Ends) }
 
-// stepFrom is how many ends a request has that is a step from quarantine.
-const stepFrom = suspect.Enough - 1
+// isolationThreshold is the number of crashes, one short of quarantine, from which a
+// suspect runs beside no other suspect.
+const isolationThreshold = suspect.Enough - 1
 
-// heldBack refuses an attempt that must not run here for what has ended under its request.
-// Without a reason it runs, until it leaves loc.runs.
-func (o *Owner) heldBack(loc *local, a *Attempt) outcome.Result {
-	if refusal, held := quarantined(o.cfg.Suspects, a, o.cfg.Now()); held {
+// checkSuspect refuses an attempt that must not run now because of the crashes recorded
+// for its request. If it returns no reason, the attempt has been added to loc.attempts
+// and must be removed when it ends.
+func (o *Owner) checkSuspect(loc *local, a *Attempt) outcome.Result {
+	if refusal, blocked := quarantined(o.cfg.Suspects, a, o.cfg.Now()); blocked {
 		return refusal
 	}
-	switch reason := loc.runs.enter(o.cfg.Suspects, a); reason {
+	switch reason := loc.attempts.tryAdd(o.cfg.Suspects, a); reason {
 	case "":
 		return outcome.Result{}
 	case outcome.ReasonTried:
-		return outcome.Refuse(reason, triedRetry)
+		return outcome.Refuse(reason, suspectRetryAfter)
 	default:
 		return outcome.Refuse(reason, outcome.MinRetryAfter)
 	}
 }
 
-// charge takes note that an upstream has ended under an attempt. Only the culprit is
-// brought into quarantine by it: who ran beside one that ends all its upstreams would be
-// refused for that else. A request that was answered here lately is excused once: of those
-// asked for all the time some run at each upstream, and would be quarantined whenever
-// three end at once.
-func (o *Owner) charge(a *Attempt, e end) {
+// recordCrash records that an upstream crashed while it ran the attempt. Only the culprit
+// of the crash can be moved into quarantine by it; otherwise requests that run beside a
+// poison request would be quarantined too. A request that was answered here recently is
+// not charged with its first crash since that answer: popular requests run at most
+// upstreams at any time and would be quarantined whenever three upstreams crash at once.
+func (o *Owner) recordCrash(a *Attempt, c crash) {
 	t, d := o.cfg.Suspects, a.digest()
-	if t.Ends(d) >= stepFrom && d != e.culprit || o.recent.Excuse(d) {
+	if t.Ends(d) >= isolationThreshold && d != c.culprit || o.recent.Excuse(d) {
 		return
 	}
-	t.Charge(d, suspect.EndOf(a.Upstream, o.cfg.Incarnation, e.n))
+	t.Charge(d, suspect.EndOf(a.Upstream, o.cfg.Incarnation, c.n))
 }
 
-// Vouch clears a request that has just been put in quarantine if an upstream here has
-// answered it lately: where all that ran it end at once, no answer is left to do so. Each
-// request is vouched for once until it is answered again, or one that has become deadly
-// would end three upstreams for each daemon that has answered it before.
+// Vouch clears a request that has just been quarantined if an upstream here answered it
+// recently: if all upstreams that were running it crash at once, none is left to clear it
+// by an answer. A request is cleared this way only once until its next answer; otherwise
+// one that has become poisonous could crash three more upstreams for each daemon that
+// answered it before.
 func (o *Owner) Vouch(r suspect.Record) {
 	if r.Quarantined() && !r.Vouched && o.recent.Has(r.Digest) {
 		o.cfg.Suspects.Vouch(r.Digest)
 	}
 }
 
-// answered takes note that the upstream lives on after it has run the attempt. An
-// upstream's own failure tells nothing: it may be what it says before it ends.
-func (o *Owner) answered(a *Attempt, status int) {
+// recordAnswer records that the upstream survived the attempt, which clears its request.
+// A 5xx status clears nothing: an upstream may send it just before it crashes.
+func (o *Owner) recordAnswer(a *Attempt, status int) {
 	if status >= http.StatusInternalServerError {
 		return
 	}
@@ -107,10 +112,11 @@
 	}
 }
 
-// tellSuspect puts what is known of an attempt's request into a message's headers, if an
-// upstream has ended under it: the daemon at the other end knows it then before it acts.
+// tellSuspect puts the suspect record of an attempt's request, if it has any crashes,
+// into the headers of a message, so that the receiving daemon has it before it acts on
+// the message.
 func tellSuspect(h http.Header, t *suspect.Table, a *Attempt) {
-	rec := recordOf(t, a)
+	rec := suspectRecord(t, a)
 	if len(rec.Ends) == 0 {
 		return
 	}
@@ -119,7 +125,8 @@
 	}
 }
 
-// hearSuspect takes in what tellSuspect told. What cannot be read tells nothing.
+// hearSuspect merges the suspect record that tellSuspect put into the headers. A record
+// that cannot be decoded is ignored.
 func hearSuspect(h http.Header, t *suspect.Table) {
 	var rec suspect.Record
 	if text := h.Get(headerSuspect); text != "" && json.Unmarshal([]byte(text), &rec) == nil {
--- a/internal/callpath/suspects_test.go
+++ b/internal/callpath/suspects_test.go
@@ -14,8 +14,9 @@
 	"github.com/comfreygate/comfreygate/internal/suspect"
 )
 
-// ask sends a GET and returns why it was not answered, or nothing.
-func (r *rig) ask(path string, header ...string) (reason, after string) {
+// get sends a GET request with these header names and values. It returns the reason why
+// the request was not answered, or "", and the Retry-After header.
+func (r *rig) get(path string, header ...string) (reason, after string) {
 	r.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, r.srv.URL+path, nil)
 	if err != nil {
@@ -33,8 +34,9 @@
 	return res.Header.Get(HeaderReason), res.Header.Get("Retry-After")
 }
 
-// endBy lets each worker end under a request for the path, and counts its runs there.
-func (r *rig) endBy(path string) (runs func() int) {
+// crashOn makes each worker's upstream crash when it runs a request for the path. The
+// returned function returns the number of these runs.
+func (r *rig) crashOn(path string) (runs func() int) {
 	ran := make(chan struct{}, 100)
 	for _, w := range r.workers {
 		serve := w.up.Config.Handler
@@ -52,8 +54,8 @@
 	return func() int { return len(ran) }
 }
 
-// revive starts a worker's upstream again, at another address.
-func (r *rig) revive() {
+// restartUpstreams restarts all upstreams, at new addresses.
+func (r *rig) restartUpstreams() {
 	for _, w := range r.workers {
 		w.up.Close()
 		w.up = httptest.NewServer(w.up.Config.Handler)
@@ -61,33 +63,34 @@
 	r.update()
 }
 
-// TestSuspectIsTriedThriceAndThenRefusedAtOnce sends a request that ends its upstreams.
-// One call, which may be repeated, ends three at the most; after that it is refused where
-// it comes in, with when to come back, and others are served, also such as share its path.
-func TestSuspectIsTriedThriceAndThenRefusedAtOnce(t *testing.T) {
+// TestPoisonRequestIsQuarantinedAfterThreeCrashes sends a poison request. Repeated calls
+// with retries may crash three upstreams at most. After that the ingress must refuse the
+// request with a retry-after time, and still serve other requests, including those with
+// the same path but another query.
+func TestPoisonRequestIsQuarantinedAfterThreeCrashes(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 5, 4, time.Millisecond)
-	runs := r.endBy("/normal?x=1")
+	runs := r.crashOn("/normal?x=1")
 	for range 3 {
-		r.ask("/normal?x=1")
+		r.get("/normal?x=1")
 	}
 	is.Equal(runs(), suspect.Enough)
-	r.revive()
-	reason, after := r.ask("/normal?x=1")
+	r.restartUpstreams()
+	reason, after := r.get("/normal?x=1")
 	is.Equal(reason, string(outcome.ReasonQuarantined))
 	is.True(after != "")
 	is.Equal(runs(), suspect.Enough)
 	for _, path := range []string{"/normal", "/normal?x=2", "/critical?x=1"} {
-		reason, _ := r.ask(path)
+		reason, _ := r.get(path)
 		is.Equal(reason, "")
 	}
 	is.Equal(r.metrics.Quarantined.Count() > 0, true)
 }
 
-// TestDaemonsTellEachOtherWithTheAttempt: an ingress that has not heard of a quarantine
-// learns it from the owner, an owner from the ingress, before anything runs; and what one
-// request is refused for keeps no other from the upstream.
-func TestDaemonsTellEachOtherWithTheAttempt(t *testing.T) {
+// TestSuspectRecordsTravelWithAttempts: an ingress without a suspect record must learn it
+// from the owner, and an owner from the ingress, before the request runs. The refusal of
+// one request must not keep others from the upstream.
+func TestSuspectRecordsTravelWithAttempts(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 1, 4, time.Millisecond)
 	w := r.workers[0]
@@ -95,36 +98,39 @@
 	for end := range suspect.Enough {
 		w.owner.cfg.Suspects.Charge(a.digest(), suspect.End(end+1))
 	}
-	reason, _ := r.ask("/normal?x=1")
+	reason, _ := r.get("/normal?x=1")
 	is.Equal(reason, string(outcome.ReasonQuarantined))
 	is.Equal(r.ingress.cfg.Suspects.Ends(a.digest()), suspect.Enough)
 	is.Equal(w.runs.Load(), int64(0))
-	reason, _ = r.ask("/normal?x=2")
+	reason, _ = r.get("/normal?x=2")
 	is.Equal(reason, "")
 
 	b := Attempt{Caller: "c", Method: http.MethodGet, URL: mustURL(t, "/normal?x=3"), AnyHost: true}
 	r.ingress.cfg.Suspects.Charge(b.digest(), 1)
-	reason, _ = r.ask("/normal?x=3")
+	reason, _ = r.get("/normal?x=3")
 	is.Equal(reason, "")
-	is.Equal(w.owner.cfg.Suspects.Ends(b.digest()), 0) // heard of, and cleared by its answer
+	is.Equal(w.owner.cfg.Suspects.Ends(b.digest()), 0) // received from the ingress, and cleared by the answer
 	rec, ok := w.owner.cfg.Suspects.Record(b.digest())
 	is.True(ok && rec.Round == 1)
 }
 
-// TestCallersCannotPutOthersUnderSuspicion sends the header that daemons tell suspects with.
-func TestCallersCannotPutOthersUnderSuspicion(t *testing.T) {
+// TestCallersCannotForgeSuspectRecords sends the header that carries suspect records
+// between daemons from a caller: it must be ignored, or callers could have the requests
+// of others quarantined.
+func TestCallersCannotForgeSuspectRecords(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 1, 4, time.Millisecond)
 	a := Attempt{Caller: "c", Method: http.MethodGet, URL: mustURL(t, "/normal"), AnyHost: true}
-	reason, _ := r.ask("/normal", headerSuspect, fmt.Sprintf(`{"d":%d,"e":[1,2,3],"t":%d}`, a.digest(), time.Now().UnixMilli()))
+	reason, _ := r.get("/normal", headerSuspect, fmt.Sprintf(`{"d":%d,"e":[1,2,3],"t":%d}`, a.digest(), time.Now().UnixMilli()))
 	is.Equal(reason, "")
 	is.True(!r.workers[0].owner.cfg.Suspects.Any())
 	is.True(!r.ingress.cfg.Suspects.Any())
 }
 
-// TestSuspectsAStepFromQuarantineRunApart: one runs beside no other suspect, whoever came
-// first, and no copy of itself. Calls that nobody suspects may join it.
-func TestSuspectsAStepFromQuarantineRunApart(t *testing.T) {
+// TestSuspectsNearQuarantineRunApart: a suspect one crash short of quarantine must run
+// beside no other suspect, whichever started first, and beside no copy of itself.
+// Requests that are not suspects may run beside it.
+func TestSuspectsNearQuarantineRunApart(t *testing.T) {
 	is := is.New(t)
 	tab := suspect.NewTable(time.Now)
 	attempt := func(path string, ends int) *Attempt {
@@ -134,57 +140,60 @@
 		}
 		return a
 	}
-	var rs runs
-	first := attempt("/a", stepFrom)
-	is.Equal(rs.enter(tab, first), outcome.Reason(""))
-	is.Equal(rs.enter(tab, attempt("/a", 0)), outcome.ReasonTried)
-	is.Equal(rs.enter(tab, attempt("/b", stepFrom)), outcome.ReasonApart)
-	is.Equal(rs.enter(tab, attempt("/c", 1)), outcome.ReasonApart)
-	is.Equal(rs.enter(tab, attempt("/d", 0)), outcome.Reason(""))
-	is.Equal(rs.enter(tab, attempt("/d", 0)), outcome.Reason(""))
-	rs.leave(first)
-	is.Equal(rs.enter(tab, attempt("/b", 0)), outcome.Reason(""))
+	var rs runningAttempts
+	first := attempt("/a", isolationThreshold)
+	is.Equal(rs.tryAdd(tab, first), outcome.Reason(""))
+	is.Equal(rs.tryAdd(tab, attempt("/a", 0)), outcome.ReasonTried)
+	is.Equal(rs.tryAdd(tab, attempt("/b", isolationThreshold)), outcome.ReasonApart)
+	is.Equal(rs.tryAdd(tab, attempt("/c", 1)), outcome.ReasonApart)
+	is.Equal(rs.tryAdd(tab, attempt("/d", 0)), outcome.Reason(""))
+	is.Equal(rs.tryAdd(tab, attempt("/d", 0)), outcome.Reason(""))
+	rs.remove(first)
+	is.Equal(rs.tryAdd(tab, attempt("/b", 0)), outcome.Reason(""))
 }
 
-// TestAnEndIsPutDownToTheSuspectThatRanThere: those that ran beside it are not charged.
-func TestAnEndIsPutDownToTheSuspectThatRanThere(t *testing.T) {
+// TestCrashIsAttributedToSuspectNearQuarantine: a crash under a suspect that is at least
+// one crash short of quarantine must not bring the requests that ran beside it into
+// quarantine.
+func TestCrashIsAttributedToSuspectNearQuarantine(t *testing.T) {
 	is := is.New(t)
 	tab := suspect.NewTable(time.Now)
 	o := &Owner{cfg: OwnerConfig{Suspects: tab}, recent: suspect.NewRecent(time.Now)}
-	var rs runs
+	var rs runningAttempts
 	culprit := &Attempt{Method: http.MethodGet, URL: mustURL(t, "/a")}
 	beside := &Attempt{Method: http.MethodGet, URL: mustURL(t, "/b")}
-	usual := &Attempt{Method: http.MethodGet, URL: mustURL(t, "/c")}
-	o.answered(usual, http.StatusOK)
-	all := []*Attempt{culprit, beside, usual}
+	answered := &Attempt{Method: http.MethodGet, URL: mustURL(t, "/c")}
+	o.recordAnswer(answered, http.StatusOK)
+	all := []*Attempt{culprit, beside, answered}
 	for _, a := range all {
-		is.Equal(rs.enter(tab, a), outcome.Reason(""))
+		is.Equal(rs.tryAdd(tab, a), outcome.Reason(""))
 	}
 	charge := func(n uint64) {
-		e := end{n: n, culprit: rs.culprit(tab)}
+		e := crash{n: n, culprit: rs.culprit(tab)}
 		for _, a := range all {
-			o.charge(a, e)
+			o.recordCrash(a, e)
 		}
 	}
 	charge(1)
-	is.Equal(tab.Ends(usual.digest()), 0) // answered here lately
-	o.answered(beside, http.StatusInternalServerError)
-	is.Equal(tab.Ends(beside.digest()), 1) // a failure clears nothing
-	o.answered(beside, http.StatusOK)
+	is.Equal(tab.Ends(answered.digest()), 0) // answered here recently
+	o.recordAnswer(beside, http.StatusInternalServerError)
+	is.Equal(tab.Ends(beside.digest()), 1) // a failed answer clears nothing
+	o.recordAnswer(beside, http.StatusOK)
 	charge(2)
 	charge(3)
 	is.Equal(tab.Ends(culprit.digest()), 3)
-	is.Equal(tab.Ends(beside.digest()), 1)       // excused for the second
-	is.Equal(tab.Ends(usual.digest()), stepFrom) // excused once
+	is.Equal(tab.Ends(beside.digest()), 1)                    // not charged with the second crash
+	is.Equal(tab.Ends(answered.digest()), isolationThreshold) // spared one crash only
 	charge(4)
 	charge(5)
-	is.Equal(tab.Ends(beside.digest()), stepFrom) // put down to the one in quarantine
-	is.Equal(tab.Ends(usual.digest()), stepFrom)
+	is.Equal(tab.Ends(beside.digest()), isolationThreshold) // attributed to the quarantined request
+	is.Equal(tab.Ends(answered.digest()), isolationThreshold)
 }
 
-// TestDaemonThatAnsweredVouchesOnce: for a request that many ask for, and not again and
-// again for one that has become deadly.
-func TestDaemonThatAnsweredVouchesOnce(t *testing.T) {
+// TestOwnerThatAnsweredClearsOnce: an owner that answered a request recently must clear
+// its quarantine, which popular requests get into by crashes that they did not cause, but
+// only once until the next answer: the request may have become poisonous.
+func TestOwnerThatAnsweredClearsOnce(t *testing.T) {
 	is := is.New(t)
 	tab := suspect.NewTable(time.Now)
 	o := &Owner{cfg: OwnerConfig{Suspects: tab}, recent: suspect.NewRecent(time.Now)}
@@ -197,7 +206,7 @@
 		return rec
 	}
 	o.Vouch(quarantine())
-	is.Equal(tab.Ends(a.digest()), suspect.Enough) // nobody here has answered it
+	is.Equal(tab.Ends(a.digest()), suspect.Enough) // no upstream here has answered it
 	tab.Answered(a.digest())
 	o.recent.Add(a.digest())
 	o.Vouch(quarantine())
@@ -206,26 +215,27 @@
 	is.Equal(tab.Ends(a.digest()), suspect.Enough)
 }
 
-// TestAnEndUnderTwoOfThemProvesNothing: it is known of neither then, and they are kept
-// apart from there on.
-func TestAnEndUnderTwoOfThemProvesNothing(t *testing.T) {
+// TestCrashUnderTwoSuspectsQuarantinesNeither: crashes under two suspects with equally
+// many crashes cannot be attributed to one of them, so neither may be quarantined. From
+// then on they must not run together.
+func TestCrashUnderTwoSuspectsQuarantinesNeither(t *testing.T) {
 	is := is.New(t)
 	tab := suspect.NewTable(time.Now)
 	o := &Owner{cfg: OwnerConfig{Suspects: tab}, recent: suspect.NewRecent(time.Now)}
 	one := &Attempt{Method: http.MethodGet, URL: mustURL(t, "/a")}
 	two := &Attempt{Method: http.MethodGet, URL: mustURL(t, "/b")}
-	var rs runs
-	is.Equal(rs.enter(tab, one), outcome.Reason(""))
-	is.Equal(rs.enter(tab, two), outcome.Reason(""))
+	var rs runningAttempts
+	is.Equal(rs.tryAdd(tab, one), outcome.Reason(""))
+	is.Equal(rs.tryAdd(tab, two), outcome.Reason(""))
 	for n := range uint64(4) {
-		e := end{n: n + 1, culprit: rs.culprit(tab)}
-		o.charge(one, e)
-		o.charge(two, e)
+		e := crash{n: n + 1, culprit: rs.culprit(tab)}
+		o.recordCrash(one, e)
+		o.recordCrash(two, e)
 	}
-	is.Equal(tab.Ends(one.digest()), stepFrom)
-	is.Equal(tab.Ends(two.digest()), stepFrom)
-	rs.leave(one)
-	is.Equal(rs.enter(tab, one), outcome.ReasonApart)
+	is.Equal(tab.Ends(one.digest()), isolationThreshold)
+	is.Equal(tab.Ends(two.digest()), isolationThreshold)
+	rs.remove(one)
+	is.Equal(rs.tryAdd(tab, one), outcome.ReasonApart)
 }
 
 func mustURL(t *testing.T, text string) *url.URL {
