--- a/internal/callpath/fleet_ends_test.go
+++ b/internal/callpath/fleet_ends_test.go
@@ -14,23 +14,24 @@
 	"github.com/comfreygate/comfreygate/internal/view"
 )
 
-// What was seen of a request that ends upstreams: it ran for 50 ms first, and the upstream
-// was back after 3.3 s.
+// Timing observed of a poison request: it ran for 50 ms before the upstream crashed, and the
+// upstream had restarted after 3.3 s.
 const (
 	simCrashDelay  = 50 * time.Millisecond
 	simRestartTime = 3300 * time.Millisecond
-	// simPropagationDelay is how long news of suspects take to all daemons: twice what the last of
-	// 93 needs over real sockets.
+	// simPropagationDelay is the time until a change of a suspect record has reached all
+	// daemons: twice what the slowest of 93 daemons took over real sockets.
 	simPropagationDelay = 20 * time.Millisecond
-	// simPopularShare is the part of the calls of a kind that ask for one and the same thing.
+	// simPopularShare is the part of a kind's calls that are copies of one request.
 	simPopularShare = 0.05
 )
 
-// simUpstream is what a VM knows of suspects, and its upstream's runs.
+// simUpstream holds the suspect records of a VM's daemon and the running attempts of the
+// VM's upstream.
 type simUpstream struct {
 	suspects   *suspect.Table
 	owner      *Owner
-	local      *local
+	local      *localUpstream
 	down       bool
 	crashCount uint64
 	runs       map[int]*simRun
@@ -43,24 +44,26 @@
 
 func newSimUpstream(clock func() time.Time) simUpstream {
 	t := suspect.NewTable(clock)
-	return simUpstream{suspects: t, owner: &Owner{cfg: OwnerConfig{Suspects: t, Now: clock}, recent: suspect.NewRecent(clock)}, local: &local{}, runs: map[int]*simRun{}}
+	return simUpstream{suspects: t, owner: &Owner{cfg: OwnerConfig{Suspects: t, Now: clock}, recent: suspect.NewRecent(clock)}, local: &localUpstream{}, runs: map[int]*simRun{}}
 }
 
-// simCrashes counts what became of calls around ends.
+// simCrashes records crashes and the calls affected by them.
 type simCrashes struct {
-	// times are the ends of upstreams; under and runs are, by the path of a deadly request,
-	// the ends under it and its runs. All by time.
+	// times are the times of all crashes. crashesByPath and runsByPath hold, by the path
+	// of a poison request, the times of the crashes it caused and of its runs. All are in
+	// order of time.
 	times         []time.Time
 	crashesByPath map[string][]time.Time
 	runsByPath    map[string][]time.Time
-	// wronglyRefused counts the calls refused as quarantined that end nothing.
+	// wronglyRefused counts the calls refused as quarantined although they are not poison
+	// requests.
 	wronglyRefused int
 	requests       int
 }
 
-func (e *simCrashes) recordResult(k *simKind, r outcome.Result) {
+func (c *simCrashes) recordResult(k *simKind, r outcome.Result) {
 	if r.Reason == outcome.ReasonQuarantined && !k.poison {
-		e.wronglyRefused++
+		c.wronglyRefused++
 	}
 }
 
@@ -73,8 +76,8 @@
 	return fmt.Sprintf("/%s/%d", k.route.Name, s.crashes.requests)
 }
 
-// refusalOnArrival says why an attempt cannot enter a gate, or nothing. It brings what its
-// sender knows.
+// refusalOnArrival merges the suspect record that an attempt brings from its sender, and
+// returns the reason why the attempt is refused before it reaches the gate, or "".
 func (s *fleetSim) refusalOnArrival(from, to *simVM, c *call) outcome.Reason {
 	if to.down {
 		return outcome.ReasonUnreachable
@@ -91,8 +94,9 @@
 	return ""
 }
 
-// startRun lets an attempt with a slot run; broken follows if the upstream ends under it,
-// else leave must. With a reason it is held back.
+// startRun starts an attempt that has a slot, or returns the reason why it must not run.
+// onCrash is called if the upstream crashes during the run; otherwise the caller must
+// call finish.
 func (s *fleetSim) startRun(vm *simVM, k *simKind, c *call, onCrash func()) (finish func(status int), refusal outcome.Reason) {
 	a := c.attempt
 	a.Upstream = vm.id
@@ -119,7 +123,7 @@
 	}, ""
 }
 
-// crashUpstream ends the upstream of a VM under all that it runs.
+// crashUpstream crashes the upstream of a VM with all attempts that it is running.
 func (s *fleetSim) crashUpstream(vm *simVM) {
 	if vm.down {
 		return
@@ -145,7 +149,7 @@
 	s.after(simRestartTime, func() { vm.down = false })
 }
 
-// propagate lets all others know, a little later, what has changed at a VM.
+// propagate sends the changed suspect records of a VM to all others, with a delay.
 func (s *fleetSim) propagate(vm *simVM) {
 	changes := vm.suspects.Changes()
 	if len(changes) == 0 {
@@ -163,7 +167,8 @@
 	})
 }
 
-// clearAnswered lets a VM's owner clearAnswered for what has just been put in quarantine.
+// clearAnswered lets a VM's owner clear newly quarantined requests that it answered
+// recently.
 func (vm *simVM) clearAnswered(changes []suspect.Change) {
 	for _, c := range changes {
 		if c.Before < suspect.Enough {
@@ -172,8 +177,8 @@
 	}
 }
 
-// poisonKind is a request that comes 8 times a second, at any VM of its caller, and again as
-// callers do.
+// poisonKind returns a poison request that is sent 8 times per second in total, through
+// any VM of its caller, and sent again by its callers as other calls are.
 func poisonKind(name string, vms int) *simKind {
 	p := config.Policy{Name: name, Urgency: 14, Objective: 300 * time.Millisecond, Timeout: time.Second, Retries: 1, Repeatable: []string{http.MethodGet}}
 	return &simKind{
@@ -182,8 +187,8 @@
 	}
 }
 
-// runWithCrashes plays a fleet in which upstreams end: under a deadly request, by themselves,
-// or not at all.
+// runWithCrashes simulates a fleet and returns it. disturb is called before the start and
+// schedules poison requests or other crashes, if any.
 func runWithCrashes(n int, length time.Duration, seed uint64, disturb func(*fleetSim)) *fleetSim {
 	s := newFleetSim(n, bankLoad(0.8), length, seed)
 	disturb(s)
@@ -191,7 +196,7 @@
 	return s
 }
 
-// withPoisonRequests lets so many deadly requests come from second 3 on.
+// withPoisonRequests sends this many different poison requests from second 3 on.
 func withPoisonRequests(requests int) func(*fleetSim) {
 	return func(s *fleetSim) {
 		var from []*simVM
@@ -211,11 +216,12 @@
 	}
 }
 
-// crashTally is what came of deadly requests.
+// crashTally sums up the effects of poison requests.
 type crashTally struct{ crashes, runs, lateRuns, wronglyRefused, calls int }
 
-// tallyCrashes counts. Late are the runs of a request that began when all could have known of
-// three ends under it; of several requests the one with most counts.
+// tallyCrashes returns the tally of a simulation. Late runs are those of a poison request
+// that began when the third crash under it was known everywhere; with several poison
+// requests, the one with the most late runs counts.
 func (s *fleetSim) tallyCrashes() crashTally {
 	const propagationTime = 3 * time.Second
 	t := crashTally{crashes: len(s.crashes.times), wronglyRefused: s.crashes.wronglyRefused, calls: s.crashes.requests}
@@ -232,18 +238,20 @@
 	return t
 }
 
-// TestFleetQuarantinesPoisonRequests plays fleets with a request, or two, that end each
-// upstream which runs them, come 8 times a second at any VM, and return. One was seen to
-// end 24 upstreams of 8 within 8 s. They must end few, none once all may know of them, and
-// no other call may be refused for it: those included that run beside them several times,
-// and those of which many copies run at once.
+// TestFleetQuarantinesPoisonRequests simulates fleets with one or two poison requests
+// that are sent 8 times per second, through any VM, and sent again by their callers. One
+// such request was seen to cause 24 crashes of 8 upstreams within 8 s. Poison requests
+// must cause few crashes, and none once all daemons may know of them. No other call may
+// be refused as quarantined, even if it ran beside a poison request several times or has
+// many copies running at once.
 func TestFleetQuarantinesPoisonRequests(t *testing.T) {
 	const (
-		// maxLateRuns is how often a request may be run once all could know of it.
+		// maxLateRuns is how often a poison request may run once all daemons could know
+		// of it.
 		maxLateRuns = 3
-		// maxRefusedShare is the part of others' calls that may be refused where two requests end
-		// most of a small fleet within a second, so that the same calls run beside them
-		// again and again.
+		// maxRefusedShare is the part of other calls that may be refused where two poison
+		// requests crash most of a small fleet within a second, so that the same calls
+		// run beside them repeatedly.
 		maxRefusedShare = 1.0 / 500
 	)
 	for _, tc := range []struct {
@@ -267,7 +275,7 @@
 					sum.add(got)
 				})
 			}
-			t.Logf("%.1f ends and %.1f runs in the mean of %d, %d others refused of %d calls in all",
+			t.Logf("mean of %.1f crashes and %.1f runs over %d seeds; %d other calls refused of %d calls in total",
 				float64(sum.crashes)/float64(tc.seeds), float64(sum.runs)/float64(tc.seeds), tc.seeds, sum.wronglyRefused, sum.calls)
 		})
 	}
@@ -280,22 +288,24 @@
 	t.runs += o.runs
 }
 
-// TestFleetServesOthersDespitePoisonRequest compares what callers of a large
-// fleet get with and without it.
+// TestFleetServesOthersDespitePoisonRequest compares the value that the callers of a
+// large fleet get with and without a poison request: with it, the value may be lower by
+// 0.01 at most.
 func TestFleetServesOthersDespitePoisonRequest(t *testing.T) {
 	for seed := range uint64(2) {
 		poisoned := runWithCrashes(95, 20*time.Second, seed, withPoisonRequests(1))
 		baseline := runWithCrashes(95, 20*time.Second, seed, func(*fleetSim) {})
-		t.Logf("seed %d: worth %.4f, without it %.4f", seed, poisoned.valueShare(), baseline.valueShare())
+		t.Logf("seed %d: value share %.4f, without the poison request %.4f", seed, poisoned.valueShare(), baseline.valueShare())
 		if poisoned.valueShare() < baseline.valueShare()-0.01 {
-			t.Errorf("seed %d: worth %.4f, without it %.4f", seed, poisoned.valueShare(), baseline.valueShare())
+			t.Errorf("seed %d: value share %.4f, more than 0.01 below the %.4f without the poison request", seed, poisoned.valueShare(), baseline.valueShare())
 		}
 	}
 }
 
-// TestUnrelatedCrashesQuarantineNothing ends a fifth of the upstreams by themselves, all
-// at once and then one after the other, of a fleet that has run for 12 s: what ran there
-// is served as ever.
+// TestUnrelatedCrashesQuarantineNothing crashes a fifth of the upstreams of a fleet for
+// reasons unrelated to requests, after it has run for 12 s: first all at once, then one
+// after the other. No request that was running there may be quarantined or refused for
+// it.
 func TestUnrelatedCrashesQuarantineNothing(t *testing.T) {
 	for seed := range uint64(4) {
 		s := runWithCrashes(95, 24*time.Second, seed, func(s *fleetSim) {
@@ -314,9 +324,9 @@
 				quarantinedCount++
 			}
 		}
-		t.Logf("seed %d: %d ends, %d requests quarantined, %d calls refused for it, worth %.4f", seed, len(s.crashes.times), quarantinedCount, s.crashes.wronglyRefused, s.valueShare())
+		t.Logf("seed %d: %d crashes, %d requests quarantined, %d calls refused for it, value share %.4f", seed, len(s.crashes.times), quarantinedCount, s.crashes.wronglyRefused, s.valueShare())
 		if quarantinedCount > 0 || s.crashes.wronglyRefused > 0 {
-			t.Errorf("seed %d: %d requests quarantined, %d calls refused", seed, quarantinedCount, s.crashes.wronglyRefused)
+			t.Errorf("seed %d: %d requests quarantined and %d calls refused, want none", seed, quarantinedCount, s.crashes.wronglyRefused)
 		}
 	}
 }
--- a/internal/callpath/fleet_sim_test.go
+++ b/internal/callpath/fleet_sim_test.go
@@ -19,9 +19,9 @@
 	"github.com/comfreygate/comfreygate/internal/view"
 )
 
-// A fleetSim plays many daemons in virtual time: the real choice of an upstream, retry
-// rules and gates, with upstreams, callers and the network made up. One seed gives one
-// result.
+// A fleetSim simulates many daemons in virtual time. The choice of an upstream, the retry
+// rules and the gates are the real code; upstreams, callers and the network are
+// simulated. The same seed gives the same result.
 type fleetSim struct {
 	rng    *rand.Rand
 	load   simLoad
@@ -32,22 +32,23 @@
 	vms    []*simVM
 	byID   map[string]*simVM
 	kinds  []*simKind
-	// attempts and crossed count the attempts and those that left the failure domain.
+	// attempts counts all attempts, crossDomain those sent to another failure domain.
 	attempts    int
 	crossDomain int
-	// refusalRate is the part of what comes that the upstreams of a service refuse.
+	// refusalRate is the part of the attempts at a service that its upstreams refuse.
 	refusalRate map[string]float64
-	// callsTo counts the calls to a service that are no repeats, repeatsAt the repeats
+	// callsTo counts the calls to a service that are not repeats, repeatsAt the repeats
 	// that reach its upstreams.
 	callsTo   map[string]int
 	repeatsAt map[string]int
-	// sampledInUse counts the slots in use at each sampling, by service, and sampledSlots all slots.
+	// sampledInUse and sampledSlots sum up, by service, the slots in use and all slots
+	// over the samples taken.
 	sampledInUse, sampledSlots map[string]int
-	// crashes is what becomes of upstreams that end under a request.
+	// crashes records the crashes of upstreams.
 	crashes simCrashes
 }
 
-// simVM is a VM with its daemon and its upstream.
+// simVM is a VM with its daemon and one upstream.
 type simVM struct {
 	id       string
 	service  string
@@ -69,33 +70,36 @@
 type simKind struct {
 	route       *view.Route
 	service     string
-	ratePerVM   float64 // calls a second that enter at each VM
+	ratePerVM   float64 // calls per second that enter at each VM
 	work        time.Duration
 	spread      float64
 	deadline    time.Duration
-	lateValue   float64 // what a late answer is worth, as a part of one in time
-	value       float64 // what an answer in time is worth
+	lateValue   float64 // value of a late answer, as a part of that of one in time
+	value       float64 // value of an answer within the objective
 	nestedKind  *simKind
 	nestedShare float64
 	nestedCalls int
-	// sequential says that the calls follow the run's own work, one after the other.
+	// sequential means that the nested calls are made one after the other, after the
+	// run's own work; otherwise they are made at once, beside it.
 	sequential bool
 
-	// poison calls end the upstream that runs them; all are copies of one.
+	// poison calls crash the upstream that runs them. All calls of the kind are copies of
+	// one request.
 	poison bool
 
-	// returned counts the returns of callers that were refused.
-	sent, inTime, late, refused, failed, returned int
+	// callerRetries counts the calls that callers sent again after a refusal.
+	sent, inTime, late, refused, failed, callerRetries int
 }
 
-// simCall is a caller's request with its returns.
+// simCall is a caller's request, including the times it is sent again.
 type simCall struct {
-	kind      *simKind
-	vm        *simVM
-	firstSent time.Time
-	deadline  time.Time
-	returns   int
-	// path is that of the request, the same when the caller returns.
+	kind          *simKind
+	vm            *simVM
+	firstSent     time.Time
+	deadline      time.Time
+	callerRetries int
+	// path is the path of the request, which stays the same when the caller sends it
+	// again.
 	path string
 }
 
@@ -128,7 +132,7 @@
 	heap.Push(&s.events, simEvent{at: s.now.Add(d), seq: s.seq, do: do})
 }
 
-// run plays until the end.
+// run processes events until the simulated end.
 func (s *fleetSim) run() {
 	for len(s.events) > 0 {
 		e := heap.Pop(&s.events).(simEvent)
@@ -140,11 +144,11 @@
 	}
 }
 
-// simLoad is a deployment and what is asked of it.
+// simLoad describes a deployment and the calls sent to it.
 type simLoad struct {
 	slots   int
 	domains int
-	// largeShare is the part of the VMs whose upstreams are of the larger service.
+	// largeShare is the part of the VMs whose upstreams belong to the larger service.
 	largeShare float64
 	speeds     []float64
 	kinds      []*simKind
@@ -155,7 +159,7 @@
 	simDomains = 5
 )
 
-// simRoute returns a route with the policy of a kind of call.
+// simRoute returns a route with the policy for a kind of call.
 func simRoute(name string, urgency config.Urgency, objective, timeout time.Duration, repeat bool) *view.Route {
 	p := config.Policy{Name: name, Urgency: urgency, Objective: objective, Timeout: timeout, Retries: 1}
 	if repeat {
@@ -164,7 +168,7 @@
 	return &view.Route{Name: name, Policy: p}
 }
 
-// scaled returns the load a number of times as high.
+// scaled multiplies the rate of all calls by factor and returns the load.
 func (l simLoad) scaled(factor float64) simLoad {
 	for _, k := range l.kinds {
 		k.ratePerVM *= factor
@@ -174,9 +178,10 @@
 
 const ms = time.Millisecond
 
-// bankLoad is the load of savings bankLoad: lookups whose work makes two short calls to the
-// smaller service, postings, uploads and queries. Grounds: 95 VMs with 15 slots each, 74 of
-// them for the larger service, 845, 319, 101 and 99.5 calls a second.
+// bankLoad models the traffic of savings banks: lookups, which make two short nested
+// calls to the smaller service, postings, uploads and queries. Modelled on a deployment
+// of 95 VMs with 15 slots each, 74 of them for the larger service, with 845, 319, 101 and
+// 99.5 calls per second.
 func bankLoad(load float64) simLoad {
 	check := &simKind{route: simRoute("check", 12, 500*ms, 1500*ms, true), service: "small", work: 120 * ms, spread: 0.5, deadline: 1500 * ms, value: 1}
 	return simLoad{slots: simSlots, domains: simDomains, largeShare: 74.0 / 95, speeds: []float64{0.5, 1, 1, 1.5}, kinds: []*simKind{
@@ -189,9 +194,10 @@
 	}}.scaled(load)
 }
 
-// fewSlotsLoad is the same banks' load after it has shifted: shorter work, more of it, and 4
-// slots an upstream; postings are worth twice a lookup. Grounds: 69 VMs, 55 of them for the
-// larger service, 1,054, 1,210, 125 and 371 calls a second on the heaviest day.
+// fewSlotsLoad models the same banks' traffic after it has changed: shorter calls, more
+// of them, and 4 slots per upstream; a posting is worth two lookups. Modelled on a
+// deployment of 69 VMs, 55 of them for the larger service, with 1,054, 1,210, 125 and 371
+// calls per second on the heaviest day.
 func fewSlotsLoad(load float64) simLoad {
 	check := &simKind{route: simRoute("check", 14, 80*ms, 250*ms, true), service: "small", work: 19 * ms, spread: 0.5, deadline: 250 * ms}
 	return simLoad{slots: 4, domains: 3, largeShare: 55.0 / 69, speeds: []float64{1 / 0.7, 1 / 0.7, 1 / 1.6}, kinds: []*simKind{
@@ -204,7 +210,7 @@
 	}}.scaled(load)
 }
 
-// newFleetSim returns n VMs under a load.
+// newFleetSim returns a simulation of n VMs under a load, for the given simulated time.
 func newFleetSim(n int, load simLoad, length time.Duration, seed uint64) *fleetSim {
 	s := &fleetSim{
 		rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), load: load, kinds: load.kinds,
@@ -235,7 +241,7 @@
 	}
 	s.after(simWarmUp, s.sample)
 	for _, vm := range s.vms {
-		vm.services = s.servicesFor(vm)
+		vm.services = s.servicesAsSeenBy(vm)
 		for _, k := range s.kinds {
 			s.arrivals(vm, k)
 		}
@@ -243,7 +249,7 @@
 	return s
 }
 
-func (s *fleetSim) servicesFor(vm *simVM) map[string]*view.Service {
+func (s *fleetSim) servicesAsSeenBy(vm *simVM) map[string]*view.Service {
 	services := map[string]*view.Service{}
 	for _, o := range s.vms {
 		sv := services[o.service]
@@ -258,7 +264,7 @@
 	return services
 }
 
-// arrivals lets callers of a kind come to a VM.
+// arrivals schedules calls of a kind to enter at a VM, as a Poisson process.
 func (s *fleetSim) arrivals(vm *simVM, k *simKind) {
 	if k.ratePerVM == 0 {
 		return
@@ -270,8 +276,9 @@
 	})
 }
 
-// maxReturns is how often a caller comes back.
-const maxReturns = 2
+// maxCallerRetries is how often a caller sends a call again that was refused or that
+// failed and may be repeated.
+const maxCallerRetries = 2
 
 func (s *fleetSim) sendCall(sc *simCall) {
 	k := sc.kind
@@ -286,14 +293,14 @@
 			} else {
 				k.late++
 			}
-		case r.Outcome == outcome.NotRun && sc.returns < maxReturns && left > 0:
-			sc.returns++
-			k.returned++
+		case r.Outcome == outcome.NotRun && sc.callerRetries < maxCallerRetries && left > 0:
+			sc.callerRetries++
+			k.callerRetries++
 			s.after(min(r.RetryAfter, left/3), func() { s.sendCall(sc) })
 		case r.Outcome == outcome.NotRun:
 			k.refused++
-		case sc.returns < maxReturns && k.route.Policy.Repeatable != nil && left > 0:
-			sc.returns++
+		case sc.callerRetries < maxCallerRetries && k.route.Policy.Repeatable != nil && left > 0:
+			sc.callerRetries++
 			s.sendCall(sc)
 		default:
 			k.failed++
@@ -301,7 +308,7 @@
 	})
 }
 
-// submit takes a call through the ingress of a VM.
+// submit sends a call through the ingress of a VM.
 func (s *fleetSim) submit(vm *simVM, k *simKind, path string, deadline, objective time.Time, parent *simParent, done func(outcome.Result)) {
 	in := vm.ingress
 	c := &call{route: k.route, service: vm.services[k.service], attempt: Attempt{
@@ -323,7 +330,8 @@
 	s.attempt(vm, k, c, &tries{}, done)
 }
 
-// ways is how long a message takes: on a VM, in a failure domain and between them.
+// messageDelay is the one-way delay of a message within a VM, within a failure domain, or
+// between failure domains.
 func (s *fleetSim) messageDelay(from, to *simVM) time.Duration {
 	switch {
 	case from == to:
@@ -375,7 +383,7 @@
 	})
 }
 
-// arrive brings an attempt to its owner.
+// arrive handles an attempt that reaches the daemon of its upstream.
 func (s *fleetSim) arrive(vm, to *simVM, k *simKind, c *call, reply func(outcome.Result)) {
 	ask := askOf(&c.attempt)
 	refuse := func(reason outcome.Reason, after time.Duration) {
@@ -409,7 +417,7 @@
 	s.deliverDecisions(to)
 }
 
-// deliverDecisions goes on with whoever a gate has decided on.
+// deliverDecisions continues the waiting attempts that a gate has admitted or refused.
 func (s *fleetSim) deliverDecisions(vm *simVM) {
 	var rest, decided []*simWait
 	for _, w := range vm.waiting {
@@ -426,16 +434,16 @@
 	}
 }
 
-// simParent is the run that makes a nested call.
+// simParent is the request that makes nested calls.
 type simParent struct {
-	// rootHash is that of the request.
+	// rootHash stands for the Lot of the request's nested calls.
 	rootHash float64
 	repeated bool
 	urgency  config.Urgency
 	vm       *simVM
 }
 
-// runAttempt runs an attempt at an upstream.
+// runAttempt runs an admitted attempt at an upstream.
 func (s *fleetSim) runAttempt(vm *simVM, k *simKind, c *call, a admission.Ask, reply func(outcome.Result)) {
 	if c.attempt.Repeated {
 		s.repeatsAt[vm.service]++
@@ -521,7 +529,8 @@
 	})
 }
 
-// submitNested carries a call that a run makes. The status is what its run comes to by it.
+// submitNested sends a nested call of a running request. done gets the status with which
+// the call lets that request go on or fail.
 func (s *fleetSim) submitNested(vm *simVM, k *simKind, deadline time.Time, parent *simParent, done func(status int)) {
 	k.sent++
 	if own := s.now.Add(k.deadline); own.Before(deadline) {
@@ -542,13 +551,14 @@
 	})
 }
 
-// slowdown is how much longer runs take at an upstream that is nearly full.
+// slowdown returns the factor by which runs take longer at an upstream that is nearly
+// full.
 func (s *fleetSim) slowdown(vm *simVM) float64 {
 	share := float64(vm.gate.Load().InFlight) / float64(s.load.slots)
 	return 1 + 0.1*math.Pow(share, 4)
 }
 
-// sampleInterval is how often slots in use are counted, simWarmUp from when on.
+// Slots in use are sampled every sampleInterval, once simWarmUp has passed.
 const (
 	sampleInterval = 20 * time.Millisecond
 	simWarmUp      = 2 * time.Second
@@ -562,12 +572,13 @@
 	s.after(sampleInterval, s.sample)
 }
 
-// utilization is the part of a service's slots that was in use.
+// utilization returns the part of a service's slots that was in use.
 func (s *fleetSim) utilization(service string) float64 {
 	return float64(s.sampledInUse[service]) / float64(s.sampledSlots[service])
 }
 
-// valueShare is what callers got of what they were owed.
+// valueShare returns the value of the answers that callers got as a part of the value of
+// all calls answered in time.
 func (s *fleetSim) valueShare() float64 {
 	got, owed := 0.0, 0.0
 	for _, k := range s.kinds {
--- a/internal/callpath/ledger.go
+++ b/internal/callpath/ledger.go
@@ -33,7 +33,8 @@
 	// deadline.
 	keyRetention = 10 * time.Minute
 	// maxLedgerEntries limits the number of entries. When the ledger is full, new
-	// attempts are refused; dropping old entries could let a late copy run twice.
+	// attempts are refused: if old entries were dropped instead, copies that arrive late
+	// could run again.
 	maxLedgerEntries = 200_000
 	// sweepInterval is the interval at which expired entries are dropped.
 	sweepInterval = 5 * time.Second
--- a/internal/callpath/owner.go
+++ b/internal/callpath/owner.go
@@ -69,11 +69,11 @@
 	logLimit lineLimit
 
 	mu     sync.Mutex
-	locals map[string]*local
+	locals map[string]*localUpstream
 }
 
-// local is an upstream on this VM.
-type local struct {
+// localUpstream is an upstream on this VM.
+type localUpstream struct {
 	gate  *admission.Gate
 	addr  string
 	conns int
@@ -97,7 +97,7 @@
 		transit: newTransit(),
 		recent:  suspect.NewRecent(cfg.Now),
 		stop:    make(chan struct{}),
-		locals:  map[string]*local{},
+		locals:  map[string]*localUpstream{},
 	}
 	go o.guard.run(o.stop)
 	return o
@@ -137,7 +137,7 @@
 		loc = nil
 	}
 	if loc == nil {
-		loc = &local{
+		loc = &localUpstream{
 			gate: admission.New(o.cfg.Now, l.Slots, int(float64(l.Slots)*o.cfg.QueueFactor), time.UnixMilli(l.Since)),
 			addr: l.Addr, conns: l.Conns, process: l.Process,
 			pool: newPool(&net.Dialer{Timeout: o.cfg.ConnectTimeout}, l.Addr, l.Conns, o.cfg.IdleTimeout, o.cfg.Dialect),
--- a/internal/callpath/ownerhttp.go
+++ b/internal/callpath/ownerhttp.go
@@ -76,7 +76,8 @@
 		http.Error(w, "another incarnation", http.StatusConflict)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		// If this fails, the ingress is gone or treats the attempt's outcome as unknown.
+		// If this fails, the ingress has disconnected; it treats the attempt's outcome as
+		// unknown.
 		_ = json.NewEncoder(w).Encode(Reply{State: query(q)})
 	}
 }
@@ -141,7 +142,7 @@
 
 // readBody reads the attempt's body once it may be sent. If it returns false, the attempt
 // is refused with the returned result.
-func (o *Owner) readBody(r *http.Request, loc *local, a *Attempt) (outcome.Result, bool) {
+func (o *Owner) readBody(r *http.Request, loc *localUpstream, a *Attempt) (outcome.Result, bool) {
 	if r.ContentLength >= outcome.LongBody {
 		if reason, after := loc.gate.Check(askOf(a)); reason != "" {
 			return outcome.Refuse(reason, after), false
--- a/internal/callpath/ownerrun.go
+++ b/internal/callpath/ownerrun.go
@@ -30,7 +30,7 @@
 // admit waits for a slot and runs an accepted attempt. stallsBefore is the stall count at
 // the time of acceptance: if it has grown by the time the slot is free, the attempt is
 // refused.
-func (o *Owner) admit(ctx context.Context, loc *local, a *Attempt, stallsBefore int64) outcome.Result {
+func (o *Owner) admit(ctx context.Context, loc *localUpstream, a *Attempt, stallsBefore int64) outcome.Result {
 	if refusal, blocked := quarantined(o.cfg.Suspects, a, o.cfg.Now()); blocked {
 		o.ledger.abandon(a.ID)
 		return o.refused(a, refusal)
@@ -54,7 +54,7 @@
 
 // refuseAdmitted releases the slot of an attempt that was admitted but not run, and
 // refuses the attempt.
-func (o *Owner) refuseAdmitted(loc *local, a *Attempt, r outcome.Result) outcome.Result {
+func (o *Owner) refuseAdmitted(loc *localUpstream, a *Attempt, r outcome.Result) outcome.Result {
 	loc.attempts.remove(a)
 	loc.gate.Release(0)
 	o.ledger.abandon(a.ID)
@@ -75,7 +75,7 @@
 
 // accept enters the attempt in the ledger and returns its upstream, or nil and the
 // refusal if the attempt may not run here.
-func (o *Owner) accept(a *Attempt) (*local, outcome.Result) {
+func (o *Owner) accept(a *Attempt) (*localUpstream, outcome.Result) {
 	if o.guard.stalled() {
 		return nil, outcome.Refuse(outcome.ReasonStalled, 0)
 	}
@@ -103,7 +103,7 @@
 	return r
 }
 
-func (o *Owner) withLoad(r outcome.Result, loc *local) outcome.Result {
+func (o *Owner) withLoad(r outcome.Result, loc *localUpstream) outcome.Result {
 	r.Load = loc.gate.Load()
 	r.Load.Intake = o.intake.wait()
 	r.HasLoad = true
@@ -111,7 +111,7 @@
 }
 
 // run sends the attempt to the upstream.
-func (o *Owner) run(ctx context.Context, loc *local, a *Attempt) outcome.Result {
+func (o *Owner) run(ctx context.Context, loc *localUpstream, a *Attempt) outcome.Result {
 	began := o.cfg.Now()
 	o.running.begin(a, loc.gate)
 	defer o.running.end(a)
@@ -146,7 +146,7 @@
 // failed returns the result of a request that got no answer. The request is known not to
 // have run only if no connection could be opened or if it was withheld before anything
 // was sent; in all other cases it may have run.
-func (o *Owner) failed(ctx context.Context, loc *local, a *Attempt, began time.Time, err error) outcome.Result {
+func (o *Owner) failed(ctx context.Context, loc *localUpstream, a *Attempt, began time.Time, err error) outcome.Result {
 	defer loc.attempts.remove(a)
 	err = errors.Wrapf(err, "call upstream %s at %s", a.Upstream, loc.addr)
 	reason, unsent := heldBack(err)
@@ -172,7 +172,7 @@
 
 // diagnoseFailure distinguishes a crash of the upstream from a broken connection, and
 // records the crash for the attempt's request.
-func (o *Owner) diagnoseFailure(ctx context.Context, loc *local, a *Attempt) outcome.Reason {
+func (o *Owner) diagnoseFailure(ctx context.Context, loc *localUpstream, a *Attempt) outcome.Reason {
 	latest, first := loc.crashes.detect(ctx, loc.pool, o.cfg.Now, func() suspect.Digest { return loc.attempts.culprit(o.cfg.Suspects) })
 	if latest.n == 0 {
 		return outcome.ReasonBroken
@@ -188,7 +188,7 @@
 }
 
 // logUnknown logs an attempt whose outcome is unknown.
-func (o *Owner) logUnknown(loc *local, a *Attempt, began time.Time, reason outcome.Reason, err error) {
+func (o *Owner) logUnknown(loc *localUpstream, a *Attempt, began time.Time, reason outcome.Reason, err error) {
 	if !mayLog(o.cfg.Logger, &o.logLimit, o.cfg.Now(), "run") {
 		return
 	}
@@ -199,7 +199,7 @@
 		Err(err).Msg("attempt ended without an answer")
 }
 
-func (o *Owner) upstreamRequest(loc *local, a *Attempt) *http.Request {
+func (o *Owner) upstreamRequest(loc *localUpstream, a *Attempt) *http.Request {
 	req := newRequest(a, loc.addr)
 	d := o.cfg.Dialect
 	set(req.Header, d.Request, a.Request)
@@ -214,8 +214,8 @@
 	return req
 }
 
-// noWait is the longest time that getting an idle connection from the pool takes. If the
-// wait was not longer, the caller's connection need not be checked again: it was checked
+// noWait is the longest time that taking an idle connection from the pool takes. After a
+// wait no longer than this, the caller's connection is not checked again: it was checked
 // just before.
 const noWait = time.Millisecond
 
@@ -255,7 +255,7 @@
 // bodyReadEnded is called once with the error that ended the reading of an answer's body.
 // A complete answer may clear its request as a suspect; a broken one may mean that the
 // upstream crashed.
-func (o *Owner) bodyReadEnded(ctx context.Context, loc *local, a *Attempt, status int, err error) {
+func (o *Owner) bodyReadEnded(ctx context.Context, loc *localUpstream, a *Attempt, status int, err error) {
 	switch {
 	case err == io.EOF:
 		o.recordAnswer(a, status)
--- a/internal/callpath/running.go
+++ b/internal/callpath/running.go
@@ -47,9 +47,9 @@
 }
 
 // nest marks a call as nested if an upstream of this VM makes it for a request that it is
-// running, and lets it inherit that request's urgency. With the urgency of the nested
-// call's own route, the nested calls of less urgent requests could be served before those
-// of more urgent ones.
+// running, and lets the call inherit that request's urgency, flow and repeat mark. With
+// the urgency of its own route, a nested call of a less urgent request could be served
+// before one of a more urgent request.
 func (in *Ingress) nest(a *Attempt) {
 	if in.cfg.Dialect.Parent == nil || in.owner == nil {
 		return
--- a/internal/callpath/runs.go
+++ b/internal/callpath/runs.go
@@ -15,9 +15,10 @@
 }
 
 // tryAdd adds an attempt, or returns the reason why it must not run beside the others.
-// Only one copy of a suspect runs at a time: more copies would be lost in the same crash
-// without telling anything more. A suspect that is one crash short of quarantine does not
-// run beside another suspect, since a crash could then be attributed to neither of them.
+// Only one copy of a suspect runs at a time: further copies would be lost in the same
+// crash without adding evidence. A suspect that is one crash short of quarantine does not
+// run beside another suspect, since a crash could then not be attributed to either of
+// them.
 func (r *runningAttempts) tryAdd(t *suspect.Table, a *Attempt) outcome.Reason {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,9 +58,9 @@
 }
 
 // culprit returns the request to which a crash under all these attempts is attributed:
-// the one with the most crashes, if it was at most one crash short of quarantine and no
-// other request has as many. Otherwise it returns zero: the crash is evidence against no
-// particular request.
+// the one with the most recorded crashes, provided that it is one crash short of
+// quarantine or beyond, and that no other running request has as many. Otherwise it
+// returns zero: the crash is evidence against no particular request.
 func (r *runningAttempts) culprit(t *suspect.Table) suspect.Digest {
 	if !t.Any() {
 		return 0
--- a/internal/callpath/suspects.go
+++ b/internal/callpath/suspects.go
@@ -60,7 +60,7 @@
 // checkSuspect refuses an attempt that must not run now because of the crashes recorded
 // for its request. If it returns no reason, the attempt has been added to loc.attempts
 // and must be removed when it ends.
-func (o *Owner) checkSuspect(loc *local, a *Attempt) outcome.Result {
+func (o *Owner) checkSuspect(loc *localUpstream, a *Attempt) outcome.Result {
 	if refusal, blocked := quarantined(o.cfg.Suspects, a, o.cfg.Now()); blocked {
 		return refusal
 	}
@@ -98,8 +98,9 @@
 	}
 }
 
-// recordAnswer records that the upstream survived the attempt, which clears its request.
-// A 5xx status clears nothing: an upstream may send it just before it crashes.
+// recordAnswer records that the upstream survived the attempt, which clears the request
+// as a suspect. A 5xx status clears nothing: an upstream may send it just before it
+// crashes.
 func (o *Owner) recordAnswer(a *Attempt, status int) {
 	if status >= http.StatusInternalServerError {
 		return
