--- a/internal/callpath/fleet_sim_test.go
+++ b/internal/callpath/fleet_sim_test.go
@@ -580,12 +580,12 @@
 // valueShare returns the value of the answers that callers got as a part of the value of
 // all calls answered in time.
 func (s *fleetSim) valueShare() float64 {
-	got, owed := 0.0, 0.0
+	earned, possible := 0.0, 0.0
 	for _, k := range s.kinds {
 		if k.ratePerVM > 0 {
-			got += k.value * (float64(k.inTime) + k.lateValue*float64(k.late))
-			owed += k.value * float64(k.sent)
+			earned += k.value * (float64(k.inTime) + k.lateValue*float64(k.late))
+			possible += k.value * float64(k.sent)
 		}
 	}
-	return got / owed
+	return earned / possible
 }
--- a/internal/callpath/fleet_test.go
+++ b/internal/callpath/fleet_test.go
@@ -42,8 +42,8 @@
 // TestLargeFleetUsesFreeSlots simulates 95 VMs under 1.2 times the load that the smaller
 // service can serve. The failure: on such a day, with 21 upstreams of that service
 // running, most nested calls were refused by two owners while others had free slots. The
-// requests that had made these calls failed and were retried, which added 0.7 to the
-// calls to the smaller service.
+// requests that had made these calls failed and were retried, which added 0.7 times as
+// many nested calls again.
 func TestLargeFleetUsesFreeSlots(t *testing.T) {
 	m := meansOf(runFleets(95, bankLoad, 1.2, 20*time.Second, 3))
 	t.Logf("%+v", m)
--- a/internal/callpath/pool.go
+++ b/internal/callpath/pool.go
@@ -259,12 +259,12 @@
 func (p *pool) reap() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := 0
-	for old < len(p.idle) && time.Since(p.idle[old].idleSince) >= p.idleTimeout {
-		p.idle[old].Close()
-		old++
+	expired := 0
+	for expired < len(p.idle) && time.Since(p.idle[expired].idleSince) >= p.idleTimeout {
+		p.idle[expired].Close()
+		expired++
 	}
-	p.idle = append([]*clientConn(nil), p.idle[old:]...)
+	p.idle = append([]*clientConn(nil), p.idle[expired:]...)
 	p.reaper = nil
 	if len(p.idle) > 0 {
 		p.reaper = time.AfterFunc(p.idleTimeout, p.reap)
--- a/internal/callpath/suspects_test.go
+++ b/internal/callpath/suspects_test.go
@@ -114,9 +114,9 @@
 	is.True(ok && rec.Round == 1)
 }
 
-// TestCallersCannotForgeSuspectRecords sends the header that carries suspect records
-// between daemons from a caller: it must be ignored, or callers could have the requests
-// of others quarantined.
+// TestCallersCannotForgeSuspectRecords: a caller sends the header that carries suspect
+// records between daemons. It must be ignored, or callers could have the requests of
+// others quarantined.
 func TestCallersCannotForgeSuspectRecords(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 1, 4, time.Millisecond)
@@ -133,9 +133,9 @@
 func TestSuspectsNearQuarantineRunApart(t *testing.T) {
 	is := is.New(t)
 	tab := suspect.NewTable(time.Now)
-	attempt := func(path string, ends int) *Attempt {
+	attempt := func(path string, crashes int) *Attempt {
 		a := &Attempt{Method: http.MethodGet, URL: mustURL(t, path)}
-		for e := range ends {
+		for e := range crashes {
 			tab.Charge(a.digest(), suspect.End(e+1))
 		}
 		return a
@@ -161,38 +161,38 @@
 	o := &Owner{cfg: OwnerConfig{Suspects: tab}, recent: suspect.NewRecent(time.Now)}
 	var rs runningAttempts
 	culprit := &Attempt{Method: http.MethodGet, URL: mustURL(t, "/a")}
-	beside := &Attempt{Method: http.MethodGet, URL: mustURL(t, "/b")}
+	bystander := &Attempt{Method: http.MethodGet, URL: mustURL(t, "/b")}
 	answered := &Attempt{Method: http.MethodGet, URL: mustURL(t, "/c")}
 	o.recordAnswer(answered, http.StatusOK)
-	all := []*Attempt{culprit, beside, answered}
+	all := []*Attempt{culprit, bystander, answered}
 	for _, a := range all {
 		is.Equal(rs.tryAdd(tab, a), outcome.Reason(""))
 	}
-	charge := func(n uint64) {
-		e := crash{n: n, culprit: rs.culprit(tab)}
+	crashUnderAll := func(n uint64) {
+		c := crash{n: n, culprit: rs.culprit(tab)}
 		for _, a := range all {
-			o.recordCrash(a, e)
+			o.recordCrash(a, c)
 		}
 	}
-	charge(1)
+	crashUnderAll(1)
 	is.Equal(tab.Ends(answered.digest()), 0) // answered here recently
-	o.recordAnswer(beside, http.StatusInternalServerError)
-	is.Equal(tab.Ends(beside.digest()), 1) // a failed answer clears nothing
-	o.recordAnswer(beside, http.StatusOK)
-	charge(2)
-	charge(3)
+	o.recordAnswer(bystander, http.StatusInternalServerError)
+	is.Equal(tab.Ends(bystander.digest()), 1) // a failed answer clears nothing
+	o.recordAnswer(bystander, http.StatusOK)
+	crashUnderAll(2)
+	crashUnderAll(3)
 	is.Equal(tab.Ends(culprit.digest()), 3)
-	is.Equal(tab.Ends(beside.digest()), 1)                    // not charged with the second crash
+	is.Equal(tab.Ends(bystander.digest()), 1)                 // not charged with the second crash
 	is.Equal(tab.Ends(answered.digest()), isolationThreshold) // spared one crash only
-	charge(4)
-	charge(5)
-	is.Equal(tab.Ends(beside.digest()), isolationThreshold) // attributed to the quarantined request
+	crashUnderAll(4)
+	crashUnderAll(5)
+	is.Equal(tab.Ends(bystander.digest()), isolationThreshold) // attributed to the quarantined request
 	is.Equal(tab.Ends(answered.digest()), isolationThreshold)
 }
 
-// TestOwnerThatAnsweredClearsOnce: an owner that answered a request recently must clear
-// its quarantine, which popular requests get into by crashes that they did not cause, but
-// only once until the next answer: the request may have become poisonous.
+// TestOwnerThatAnsweredClearsOnce: popular requests can be quarantined for crashes that
+// they did not cause. An owner that answered such a request recently must clear it, but
+// only once until the next answer, since the request may have become poisonous.
 func TestOwnerThatAnsweredClearsOnce(t *testing.T) {
 	is := is.New(t)
 	tab := suspect.NewTable(time.Now)
@@ -228,9 +228,9 @@
 	is.Equal(rs.tryAdd(tab, one), outcome.Reason(""))
 	is.Equal(rs.tryAdd(tab, two), outcome.Reason(""))
 	for n := range uint64(4) {
-		e := crash{n: n + 1, culprit: rs.culprit(tab)}
-		o.recordCrash(one, e)
-		o.recordCrash(two, e)
+		c := crash{n: n + 1, culprit: rs.culprit(tab)}
+		o.recordCrash(one, c)
+		o.recordCrash(two, c)
 	}
 	is.Equal(tab.Ends(one.digest()), isolationThreshold)
 	is.Equal(tab.Ends(two.digest()), isolationThreshold)
