--- a/internal/callpath/answerbody.go
+++ b/internal/callpath/answerbody.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// answerBody is the body of an upstream's response. Closing it releases what the attempt
-// holds.
+// answerBody is the body of an upstream's response. Closing it calls done, which releases
+// the slot, connection or count that the attempt holds.
 type answerBody struct {
 	io.ReadCloser
 	once sync.Once
--- a/internal/callpath/attempt.go
+++ b/internal/callpath/attempt.go
@@ -33,8 +33,8 @@
 	HeaderRetryAfter   = "Comfrey-Retry-After-Ms"
 	HeaderVersion      = "Comfrey-Version"
 	headerPrefix       = "Comfrey-"
-	// headerIdempotency is the customary header for a key that identifies repeated
-	// sendings of one request.
+	// headerIdempotency is the conventional header for an idempotency key, under which a
+	// caller repeats a request.
 	headerIdempotency = "Idempotency-Key"
 )
 
@@ -65,8 +65,8 @@
 	headerTook = "Comfrey-Took-Us"
 	// headerAnyHost is present if the route matches requests for any host.
 	headerAnyHost = "Comfrey-Any-Host"
-	// headerSuspect holds the suspect.Record of a request at which an upstream has
-	// crashed. It is sent in both directions.
+	// headerSuspect holds the suspect.Record of a request that was running at an upstream
+	// when it crashed. It is sent in both directions.
 	headerSuspect = "Comfrey-Suspect"
 	// headerClock holds the sender's logical clock, so that in the merged timeline of
 	// events an action of an ingress comes before its effects at the owner.
--- a/internal/callpath/dialect.go
+++ b/internal/callpath/dialect.go
@@ -71,7 +71,7 @@
 }
 
 // retryAfter returns the value of a Retry-After header. RFC 9110, section 10.2.3, allows
-// only whole seconds; these are rounded up.
+// only whole seconds, so other values are rounded up unless callers accept fractions.
 func (d Dialect) retryAfter(after time.Duration) string {
 	if d.Fractions {
 		return strconv.FormatFloat(after.Seconds(), 'f', 3, 64)
--- a/internal/callpath/ingress.go
+++ b/internal/callpath/ingress.go
@@ -46,7 +46,7 @@
 	// about it over a new connection.
 	InquireAfter time.Duration
 	// RetryRatio is the number of retries allowed per call, over all daemons. RetryBurst
-	// is the maximum number of unused retries that this daemon accumulates.
+	// is the maximum number of unused retries to a service that this daemon accumulates.
 	RetryRatio float64
 	// Revoke is the maximum age of a configuration at which calls are still admitted by
 	// workspace key. Zero: any age.
@@ -165,7 +165,8 @@
 	return fresh, in.view.Load()
 }
 
-// Leave makes callers open their next connections to other daemons.
+// Leave makes responses close their connections, so that callers open their next ones to
+// other daemons.
 func (in *Ingress) Leave() { in.leaving.Store(true) }
 
 // Refuse makes the ingress refuse every new call as not run, because the process will
@@ -238,8 +239,8 @@
 	if in.refusing.Load() && !c.attempt.Nested {
 		return outcome.Refuse(outcome.ReasonDraining, restartRetryAfter)
 	}
-	leave, refusal := in.cfg.Limits.Admit(ctx, v, c.attempt.Workspace)
-	if !leave {
+	allowed, refusal := in.cfg.Limits.Admit(ctx, v, c.attempt.Workspace)
+	if !allowed {
 		return refusal
 	}
 	res := in.run(ctx, c)
@@ -373,8 +374,8 @@
 // bytesPerMB converts CrossDomainCost from megabytes to bytes.
 const bytesPerMB = 1e6
 
-// defaultObjectiveDivisor is the fraction of a policy's timeout, as a divisor, that
-// serves as its objective if it sets none.
+// defaultObjectiveDivisor divides a policy's timeout to give the objective of a policy
+// that sets none.
 const defaultObjectiveDivisor = 4
 
 // need returns what the attempt requires of an upstream, estimated from recent calls of
--- a/internal/callpath/intake.go
+++ b/internal/callpath/intake.go
@@ -50,7 +50,7 @@
 }
 
 // reserve schedules a body. False: it would wait too long or arrive after the deadline;
-// after is then when to retry.
+// after is then the retry-after.
 func (i *intake) reserve(size int64, deadline time.Time) (t reservation, after time.Duration, ok bool) {
 	if i.rate == 0 {
 		return reservation{}, 0, true
--- a/internal/callpath/limits_test.go
+++ b/internal/callpath/limits_test.go
@@ -23,9 +23,9 @@
 }
 
 // setCoordinator makes a daemon the limit coordinator of its failure domain.
-func (k *keyRig) setCoordinator(keeper view.Keeper) {
+func (k *keyRig) setCoordinator(coordinator view.Keeper) {
 	v := *k.ingress.view.Load()
-	v.Keepers = map[string]view.Keeper{"d": keeper}
+	v.Keepers = map[string]view.Keeper{"d": coordinator}
 	v.Daemons = 2
 	k.ingress.Update(&v)
 }
@@ -103,9 +103,8 @@
 	}
 }
 
-// TestDaemonWithoutCoordinatorAdmitsOnlyItsShare guards against a daemon that admits the
-// whole limit, or nothing, while its limit coordinator is unreachable: it may admit its
-// own share.
+// TestDaemonWithoutCoordinatorAdmitsOnlyItsShare covers a limit coordinator that does not
+// answer: the daemon may admit no more than its own share of the limit.
 func TestDaemonWithoutCoordinatorAdmitsOnlyItsShare(t *testing.T) {
 	is := is.New(t)
 	k := newKeyRig(t)
--- a/internal/callpath/log.go
+++ b/internal/callpath/log.go
@@ -47,7 +47,7 @@
 func mayLog(logger zerolog.Logger, l *lineLimit, now time.Time, step string) bool {
 	ok, suppressed := l.allow(now)
 	if suppressed > 0 {
-		logger.Warn().Str("step", step).Int("suppressed", suppressed).Msg("log lines of this kind were suppressed by the rate limit")
+		logger.Warn().Str("step", step).Int("suppressed", suppressed).Msg("log lines of this kind were suppressed by the log rate limit")
 	}
 	return ok
 }
@@ -87,7 +87,7 @@
 	}
 	e := in.callFields(in.cfg.Logger.Info(), c, r)
 	if c.route == nil {
-		e = in.lookupFields(e, c)
+		e = in.noRouteFields(e, c)
 	}
 	e.Int("status", statusOf(r)).
 		Int64("retry_after_ms", r.RetryAfter.Milliseconds()).Str("step", "refuse").Err(r.Err).Msg("call refused")
@@ -97,10 +97,10 @@
 // Callers may send values of any length.
 const maxLoggedBytes = 96
 
-// lookupFields adds the host and path of a call that matched no route, how long the
+// noRouteFields adds the host and path of a call that matched no route, how long the
 // configuration without such a route has been in force here, and how long ago it was last
 // known to be the newest. The query is left out, because it may contain secrets.
-func (in *Ingress) lookupFields(e *zerolog.Event, c *call) *zerolog.Event {
+func (in *Ingress) noRouteFields(e *zerolog.Event, c *call) *zerolog.Event {
 	e = e.Str("host", truncate(c.attempt.Host)).Str("path", truncate(c.attempt.URL.Path))
 	if since := in.view.Load().Since; !since.IsZero() {
 		e = e.Int64("in_force_ms", in.cfg.Now().Sub(since).Milliseconds())
--- a/internal/callpath/remote.go
+++ b/internal/callpath/remote.go
@@ -258,10 +258,10 @@
 // unsentResult returns the result of an attempt of which nothing was sent. False: err
 // does not prove that.
 func unsentResult(ctx context.Context, err error) (outcome.Result, bool) {
-	reason, notSentYet := heldBack(err)
+	reason, wasHeldBack := heldBack(err)
 	out := outcome.Refuse(reason, outcome.MinRetryAfter)
 	out.Err = err
-	if notSentYet {
+	if wasHeldBack {
 		return out, true
 	}
 	if !notSent(err) {
--- a/internal/callpath/transit_test.go
+++ b/internal/callpath/transit_test.go
@@ -76,7 +76,8 @@
 	is.Equal(tr.excess("s", at-slow, at), time.Duration(0))
 }
 
-// TestTransitIsBounded checks that the table of senders stays within its limit.
+// TestTransitIsBounded checks that the table of senders stays within its limit: senders
+// that are gone make room for new ones.
 func TestTransitIsBounded(t *testing.T) {
 	is := is.New(t)
 	tr := newTransit()
