--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -13,151 +13,155 @@
 	"pgregory.net/rapid"
 )
 
-// fleet plays daemons that hold callers to limits, with their keepers, in virtual time.
+// fleet simulates daemons that apply limits, and their coordinators, in virtual time.
 type fleet struct {
-	rng     *rand.Rand
-	now     time.Duration
-	agenda  agenda
-	seq     int
-	daemons []*daemon
-	domains []*domain
-	limits  map[string]Limit
-	spaces  []*space
-	// cut are the failure domains that reach no other.
-	cut map[int]bool
+	rng        *rand.Rand
+	now        time.Duration
+	events     eventQueue
+	seq        int
+	daemons    []*daemon
+	domains    []*domain
+	limits     map[string]Limit
+	workspaces []*workspace
+	// partitioned holds the failure domains that reach no other.
+	partitioned map[int]bool
 }
 
 type daemon struct {
-	share  *Share
-	domain *domain
-	keeper *Keeper
-	// pause is the interval at which the keeper asks others.
-	pause time.Duration
-	down  bool
-	// waiting are the workspaces of the calls that wait for leave, asking is set while a
-	// report is on its way.
-	waiting []*space
-	asking  bool
+	share       *Share
+	domain      *domain
+	coordinator *Keeper
+	// requestInterval is the interval at which the coordinator requests leases.
+	requestInterval time.Duration
+	down            bool
+	// waiting are the workspaces of the calls that wait for a grant; reporting is set
+	// while a report is in flight.
+	waiting   []*workspace
+	reporting bool
 }
 
 type domain struct {
 	index   int
 	daemons []*daemon
-	// keeper is the daemon that all of the domain take for it.
-	keeper *daemon
+	// coordinator is the daemon that all daemons of the domain treat as the limit
+	// coordinator.
+	coordinator *daemon
 }
 
-// space is a workspace and what became of its calls.
-type space struct {
+// workspace is a workspace and the outcome of its calls.
+type workspace struct {
 	name string
-	// usual is how many calls a second it sends, times what it sends now.
-	usual, times float64
-	// home is the domain that all its calls come in at, or -1; single the daemon.
-	home   int
-	single bool
-	// admitted are the times of calls let in, offered of all.
+	// usualRate is how many calls per second it usually sends; rateFactor is the multiple
+	// of it that it sends now.
+	usualRate, rateFactor float64
+	// homeDomain is the domain at which all its calls arrive, or -1; with singleDaemon
+	// they all arrive at one daemon.
+	homeDomain   int
+	singleDaemon bool
+	// admitted are the times of the admitted calls, offered those of all calls.
 	admitted, offered []time.Duration
 }
 
-type occasion struct {
+type event struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
-type agenda []occasion
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(occasion)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-func (f *fleet) after(d time.Duration, do func()) {
+func (f *fleet) after(d time.Duration, run func()) {
 	f.seq++
-	heap.Push(&f.agenda, occasion{f.now + d, f.seq, do})
+	heap.Push(&f.events, event{f.now + d, f.seq, run})
 }
 
-// What the fleets of these tests are like.
+// Parameters of the simulated fleets.
 const (
-	fleetSpaces = 75
-	fleetSkew   = 1.2
-	// fleetQuota is a workspace's limit, as a multiple of what it usually sends.
-	fleetQuota = 1.6
-	// perDaemon is how many calls a second come in at a daemon.
-	perDaemon = 28.0
-	// callsFrom is when the first calls come, a while after the daemons.
-	callsFrom = 4 * time.Second
+	fleetWorkspaces = 75
+	fleetSkew       = 1.2
+	// fleetLimitFactor is a workspace's limit, as a multiple of its usual rate.
+	fleetLimitFactor = 1.6
+	// callsPerDaemon is how many calls per second arrive at a daemon.
+	callsPerDaemon = 28.0
+	// firstCallAt is when calls begin to arrive, some time after the daemons start.
+	firstCallAt = 4 * time.Second
 )
 
-// fleetTolerance is by how much limits may be passed.
+// fleetTolerance is by how much limits may be exceeded.
 var fleetTolerance = Tolerance{Window: 5 * time.Second, Part: 0.1, Calls: 20}
 
 func newFleet(n, domains int, seed uint64) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, limits: map[string]Limit{}, cut: map[int]bool{}}
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, limits: map[string]Limit{}, partitioned: map[int]bool{}}
 	for i := range domains {
 		f.domains = append(f.domains, &domain{index: i})
 	}
 	total := 0.0
-	for i := range fleetSpaces {
+	for i := range fleetWorkspaces {
 		total += math.Pow(float64(i+1), -fleetSkew)
 	}
-	for i := range fleetSpaces {
-		s := &space{name: fmt.Sprint("ws", i), usual: perDaemon * float64(n) * math.Pow(float64(i+1), -fleetSkew) / total, times: 1, home: -1}
-		f.spaces = append(f.spaces, s)
-		f.limits[s.name] = Limit{Rate: math.Ceil(fleetQuota * s.usual), Burst: math.Ceil(fleetQuota * s.usual)}
+	for i := range fleetWorkspaces {
+		s := &workspace{name: fmt.Sprint("ws", i), usualRate: callsPerDaemon * float64(n) * math.Pow(float64(i+1), -fleetSkew) / total, rateFactor: 1, homeDomain: -1}
+		f.workspaces = append(f.workspaces, s)
+		f.limits[s.name] = Limit{Rate: math.Ceil(fleetLimitFactor * s.usualRate), Burst: math.Ceil(fleetLimitFactor * s.usualRate)}
 	}
 	for i := range n {
-		d := &daemon{share: NewShare(), domain: f.domains[i%domains], keeper: NewKeeper(fleetTolerance)}
-		d.keeper.Set(f.limits, domains)
+		d := &daemon{share: NewShare(), domain: f.domains[i%domains], coordinator: NewKeeper(fleetTolerance)}
+		d.coordinator.Set(f.limits, domains)
 		d.domain.daemons = append(d.domain.daemons, d)
 		f.daemons = append(f.daemons, d)
 	}
 	for _, d := range f.domains {
-		d.keeper = d.daemons[0]
+		d.coordinator = d.daemons[0]
 	}
 	for _, d := range f.daemons {
 		f.after(time.Duration(f.rng.Int64N(int64(100*time.Millisecond))), func() { f.report(d, true) })
-		f.after(time.Duration(f.rng.Int64N(int64(250*time.Millisecond))), func() { f.borrow(d) })
+		f.after(time.Duration(f.rng.Int64N(int64(250*time.Millisecond))), func() { f.requestLeases(d) })
 	}
-	for _, s := range f.spaces {
-		f.after(callsFrom+f.gap(s), func() { f.arrive(s) })
+	for _, s := range f.workspaces {
+		f.after(firstCallAt+f.interarrival(s), func() { f.arrive(s) })
 	}
 	return f
 }
 
 func (f *fleet) run(until time.Duration) {
-	for len(f.agenda) > 0 && f.agenda[0].at < until {
-		o := heap.Pop(&f.agenda).(occasion)
-		f.now = o.at
-		o.do()
+	for len(f.events) > 0 && f.events[0].at < until {
+		next := heap.Pop(&f.events).(event)
+		f.now = next.at
+		next.run()
 	}
 	f.now = until
 }
 
-// hop is how long a message takes one way, its handling at a busy daemon included.
-func (f *fleet) hop() time.Duration {
+// messageDelay is how long a message takes one way, including its handling at a busy
+// daemon.
+func (f *fleet) messageDelay() time.Duration {
 	return time.Millisecond + time.Duration(f.rng.ExpFloat64()*float64(4*time.Millisecond))
 }
 
-func (f *fleet) gap(s *space) time.Duration {
-	return time.Duration(f.rng.ExpFloat64() / (s.usual * s.times) * float64(time.Second))
+func (f *fleet) interarrival(s *workspace) time.Duration {
+	return time.Duration(f.rng.ExpFloat64() / (s.usualRate * s.rateFactor) * float64(time.Second))
 }
 
-func (f *fleet) arrive(s *space) {
-	f.after(f.gap(s), func() { f.arrive(s) })
+func (f *fleet) arrive(s *workspace) {
+	f.after(f.interarrival(s), func() { f.arrive(s) })
 	at := f.daemons
-	if s.home >= 0 {
-		at = f.domains[s.home].daemons
+	if s.homeDomain >= 0 {
+		at = f.domains[s.homeDomain].daemons
 	}
 	d := at[f.rng.IntN(len(at))]
-	if s.single {
+	if s.singleDaemon {
 		d = at[0]
 	}
 	if d.down {
@@ -173,34 +177,34 @@
 	}
 }
 
-// report tells the keeper; again says that it is the regular one.
-func (f *fleet) report(d *daemon, again bool) {
-	if again {
+// report sends a report to the coordinator; periodic says that it is the regular one.
+func (f *fleet) report(d *daemon, periodic bool) {
+	if periodic {
 		f.after(100*time.Millisecond, func() { f.report(d, true) })
 	}
-	if d.down || d.asking {
+	if d.down || d.reporting {
 		return
 	}
 	waiting := d.waiting
-	d.waiting, d.asking = nil, true
+	d.waiting, d.reporting = nil, true
 	r := d.share.Report()
 	r.Wanted = map[string]int{}
 	for _, s := range waiting {
 		r.Wanted[s.name]++
 	}
-	k, asked := d.domain.keeper, f.now
-	f.after(f.hop(), func() {
+	k, asked := d.domain.coordinator, f.now
+	f.after(f.messageDelay(), func() {
 		if k.down {
-			f.after(300*time.Millisecond, func() { f.heard(d, asked, waiting, r, nil) })
+			f.after(300*time.Millisecond, func() { f.handleReply(d, asked, waiting, r, nil) })
 			return
 		}
-		reply := k.keeper.Take(f.now, r)
-		f.after(f.hop(), func() { f.heard(d, asked, waiting, r, &reply) })
+		reply := k.coordinator.Take(f.now, r)
+		f.after(f.messageDelay(), func() { f.handleReply(d, asked, waiting, r, &reply) })
 	})
 }
 
-func (f *fleet) heard(d *daemon, asked time.Duration, waiting []*space, r Report, reply *Reply) {
-	d.asking = false
+func (f *fleet) handleReply(d *daemon, asked time.Duration, waiting []*workspace, r Report, reply *Reply) {
+	d.reporting = false
 	if d.down {
 		return
 	}
@@ -224,65 +228,65 @@
 	}
 }
 
-func (f *fleet) borrow(d *daemon) {
-	lent := false
+func (f *fleet) requestLeases(d *daemon) {
+	leased := false
 	defer func() {
-		d.pause = AskAgain(d.pause, lent)
-		f.after(d.pause, func() { f.borrow(d) })
+		d.requestInterval = AskAgain(d.requestInterval, leased)
+		f.after(d.requestInterval, func() { f.requestLeases(d) })
 	}()
-	if d.down || d.domain.keeper != d || f.cut[d.domain.index] {
+	if d.down || d.domain.coordinator != d || f.partitioned[d.domain.index] {
 		return
 	}
-	request := LoanRequest{Domain: fmt.Sprint(d.domain.index), Needs: d.keeper.Needs(f.now)}
+	request := LoanRequest{Domain: fmt.Sprint(d.domain.index), Needs: d.coordinator.Needs(f.now)}
 	for _, other := range f.domains {
-		if other == d.domain || len(request.Needs) == 0 || f.cut[other.index] || other.keeper.down {
+		if other == d.domain || len(request.Needs) == 0 || f.partitioned[other.index] || other.coordinator.down {
 			continue
 		}
-		loans := other.keeper.keeper.Lend(f.now, request)
-		d.keeper.Borrow(f.now, f.now, fmt.Sprint(other.index), loans)
-		request.Subtract(loans)
-		lent = lent || len(loans) > 0
+		leasedRates := other.coordinator.coordinator.Lend(f.now, request)
+		d.coordinator.Borrow(f.now, f.now, fmt.Sprint(other.index), leasedRates)
+		request.Subtract(leasedRates)
+		leased = leased || len(leasedRates) > 0
 	}
 }
 
-// kill ends a daemon; if it was the keeper, the others notice after a while, and another
-// one follows. It starts again later.
+// kill stops a daemon and starts it again later. If it was the coordinator, another
+// daemon takes over once the others have noticed.
 func (f *fleet) kill(d *daemon) {
 	d.down, d.waiting = true, nil
-	if d.domain.keeper == d {
-		f.after(1800*time.Millisecond, func() { d.domain.keeper = d.domain.daemons[len(d.domain.daemons)-1] })
+	if d.domain.coordinator == d {
+		f.after(1800*time.Millisecond, func() { d.domain.coordinator = d.domain.daemons[len(d.domain.daemons)-1] })
 	}
 	f.after(3500*time.Millisecond, func() {
-		d.down, d.share, d.keeper, d.asking = false, NewShare(), NewKeeper(fleetTolerance), false
-		d.keeper.Set(f.limits, len(f.domains))
-		d.domain.keeper = d
+		d.down, d.share, d.coordinator, d.reporting = false, NewShare(), NewKeeper(fleetTolerance), false
+		d.coordinator.Set(f.limits, len(f.domains))
+		d.domain.coordinator = d
 	})
 }
 
-// over returns by which part of it the worst window of any workspace is over what may be
-// let in.
-func (f *fleet) over() (worst float64, of string) {
+// worstExcess returns the excess of the worst window of any workspace, as a fraction of
+// the calls allowed in it.
+func (f *fleet) worstExcess() (worst float64, name string) {
 	worst = math.Inf(-1)
 	t := fleetTolerance
-	for _, s := range f.spaces {
+	for _, s := range f.workspaces {
 		l := f.limits[s.name]
 		allowed := (l.Rate*t.Window.Seconds()+l.Burst)*(1+t.Part) + t.Calls
 		for i, at := range s.admitted {
 			j, _ := slices.BinarySearch(s.admitted, at+t.Window)
 			if x := (float64(j-i) - allowed) / allowed; x > worst {
-				worst, of = x, s.name
+				worst, name = x, s.name
 			}
 		}
 	}
-	return worst, of
+	return worst, name
 }
 
-// refused returns the part of the calls that was not let in, of workspaces that stay within
-// their limits.
-func (f *fleet) refused() float64 {
+// refusedFraction returns the fraction of the calls that were refused, of workspaces that
+// stay within their limits.
+func (f *fleet) refusedFraction() float64 {
 	offered, admitted := 0, 0
-	for _, s := range f.spaces {
-		if s.times == 1 {
+	for _, s := range f.workspaces {
+		if s.rateFactor == 1 {
 			offered += len(s.offered)
 			admitted += len(s.admitted)
 		}
@@ -290,64 +294,67 @@
 	return 1 - float64(admitted)/float64(offered)
 }
 
-// TestLimitsHoldOverTheWholeFleet plays what may happen to a fleet whose workspaces are
-// held to limits: in no window more is let in than a limit allows, and those that keep to
-// theirs are let in, once the fleet has had time to bring room to where their calls are.
+// TestLimitsHoldOverTheWholeFleet simulates load shifts, partitions and crashes in fleets
+// with limited workspaces. In no window may more calls be admitted than a limit allows,
+// and calls of workspaces within their limits must be admitted once leases have moved the
+// rate to where the calls arrive.
 func TestLimitsHoldOverTheWholeFleet(t *testing.T) {
 	const (
-		hotTimes, hotFrom = 7.5, 8 * time.Second
-		length            = 22 * time.Second
-		// settle is the time in which room is to be where calls are, notice that in which
-		// the others find out that a keeper has gone.
-		settle, notice = 1500 * time.Millisecond, 1800 * time.Millisecond
-		// odd is the part of the calls that may be refused without any disturbance: they
-		// come in lumps.
-		odd = 0.005
+		hotFactor, hotFrom = 7.5, 8 * time.Second
+		length             = 22 * time.Second
+		// rebalanceTime is the time in which leases move rate to where the calls arrive;
+		// failoverTime is the time in which the daemons notice that a coordinator is
+		// gone.
+		rebalanceTime, failoverTime = 1500 * time.Millisecond, 1800 * time.Millisecond
+		// baseRefused is the fraction of the calls that may be refused without any
+		// disturbance: they arrive in clusters.
+		baseRefused = 0.005
 	)
 	hot := func(f *fleet) {
 		f.after(hotFrom, func() {
 			for _, i := range []int{0, 7, 30} {
-				f.spaces[i].times = hotTimes
+				f.workspaces[i].rateFactor = hotFactor
 			}
 		})
 	}
-	// lacking is the part of the calls beyond one domain's part of a limit.
-	lacking := func(domains int) float64 { return 1 - fleetQuota/float64(domains) }
+	// beyondDomain is the fraction of the calls beyond one domain's part of a limit.
+	beyondDomain := func(domains int) float64 { return 1 - fleetLimitFactor/float64(domains) }
 	for _, c := range []struct {
 		name    string
 		disturb func(*fleet)
-		// unsettled is for how long which part of the calls may be refused.
-		unsettled time.Duration
-		part      func(domains int) float64
+		// unsettled is how long the disturbance lasts; refusedThen is the fraction of the
+		// calls that may be refused in that time.
+		unsettled   time.Duration
+		refusedThen func(domains int) float64
 	}{
 		{"calm", func(*fleet) {}, 0, nil},
 		{"three workspaces at 7.5 times their usual", hot, 0, nil},
 		{"each workspace in one failure domain", func(f *fleet) {
-			for i, s := range f.spaces {
-				s.home = i % len(f.domains)
+			for i, s := range f.workspaces {
+				s.homeDomain = i % len(f.domains)
 			}
-		}, settle, lacking},
+		}, rebalanceTime, beyondDomain},
 		{"all callers move from one domain to another", func(f *fleet) {
-			for i := range f.spaces {
-				f.spaces[i].home = 0
-				f.after(12*time.Second, func() { f.spaces[i].home = 1 })
+			for i := range f.workspaces {
+				f.workspaces[i].homeDomain = 0
+				f.after(12*time.Second, func() { f.workspaces[i].homeDomain = 1 })
 			}
-		}, 2 * settle, lacking},
+		}, 2 * rebalanceTime, beyondDomain},
 		{"hot ones come in at one daemon", func(f *fleet) {
 			hot(f)
 			for _, i := range []int{0, 7, 30} {
-				f.spaces[i].single = true
+				f.workspaces[i].singleDaemon = true
 			}
 		}, 0, nil},
 		{"a domain is cut off", func(f *fleet) {
 			hot(f)
-			f.after(7*time.Second, func() { f.cut[0] = true })
-			f.after(15*time.Second, func() { f.cut[0] = false })
+			f.after(7*time.Second, func() { f.partitioned[0] = true })
+			f.after(15*time.Second, func() { f.partitioned[0] = false })
 		}, 0, nil},
 		{"a keeper is killed", func(f *fleet) {
 			hot(f)
-			f.after(10*time.Second, func() { f.kill(f.domains[0].keeper) })
-		}, notice + 2*settle, func(domains int) float64 { return 1 / float64(domains) }},
+			f.after(10*time.Second, func() { f.kill(f.domains[0].coordinator) })
+		}, failoverTime + 2*rebalanceTime, func(domains int) float64 { return 1 / float64(domains) }},
 		{"half of all are killed", func(f *fleet) {
 			hot(f)
 			f.after(11*time.Second, func() {
@@ -355,7 +362,7 @@
 					f.kill(f.daemons[i])
 				}
 			})
-		}, notice + 2*settle, func(int) float64 { return 1 }},
+		}, failoverTime + 2*rebalanceTime, func(int) float64 { return 1 }},
 	} {
 		for _, size := range []struct {
 			daemons, domains int
@@ -363,19 +370,19 @@
 		}{{13, 3, 3}, {65, 3, 2}, {260, 7, 1}} {
 			t.Run(fmt.Sprintf("%s/%d-daemons", c.name, size.daemons), func(t *testing.T) {
 				t.Parallel()
-				allowed := odd
-				if c.part != nil {
-					allowed += c.unsettled.Seconds() / (length - callsFrom).Seconds() * c.part(size.domains)
+				allowed := baseRefused
+				if c.refusedThen != nil {
+					allowed += c.unsettled.Seconds() / (length - firstCallAt).Seconds() * c.refusedThen(size.domains)
 				}
 				for seed := range size.seeds {
 					f := newFleet(size.daemons, size.domains, seed)
 					c.disturb(f)
 					f.run(length)
-					over, of := f.over()
-					refused := f.refused()
-					t.Logf("seed %d: worst window %.3f over (%s), %.4f of those within limits refused", seed, over, of, refused)
+					over, name := f.worstExcess()
+					refused := f.refusedFraction()
+					t.Logf("seed %d: worst window exceeds its limit by %.3f (%s), %.4f of the calls within limits refused", seed, over, name, refused)
 					if over > 0 || refused > allowed {
-						t.Errorf("seed %d: %s is %.3f over its limit in a window, %.4f of the calls within limits are refused (%.4f may be)", seed, of, over, refused, allowed)
+						t.Errorf("seed %d: %s exceeds its limit by %.3f in a window, %.4f of the calls within limits refused (want at most %.4f)", seed, name, over, refused, allowed)
 					}
 				}
 			})
@@ -383,54 +390,56 @@
 	}
 }
 
-// TestLoansNeverAddUpToMoreThanTheLimit drives keepers that lend, borrow, lose answers and
-// are cut off: what they may give out together is the limit at the most, at any time.
+// TestLoansNeverAddUpToMoreThanTheLimit drives coordinators that grant and take leases,
+// lose answers and are partitioned: the rates that they may give out must never add up to
+// more than the limit.
 func TestLoansNeverAddUpToMoreThanTheLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const domains = 3
 		limit := Limit{Rate: 90, Burst: 30}
-		var keepers []*Keeper
+		var coordinators []*Keeper
 		for range domains {
 			k := NewKeeper(fleetTolerance)
 			k.Set(map[string]Limit{"ws": limit}, domains)
-			keepers = append(keepers, k)
+			coordinators = append(coordinators, k)
 		}
 		now := time.Second
 		check := func() {
 			sum := 0.0
-			for _, k := range keepers {
+			for _, k := range coordinators {
 				if b := k.bucket(now, "ws"); b != nil {
 					sum += k.rate("ws", b, now)
 				}
 			}
-			most := limit.Rate + spread*limit.Burst/fleetTolerance.Window.Seconds()
+			most := limit.Rate + evenBurstFraction*limit.Burst/fleetTolerance.Window.Seconds()
 			if sum > most*(1+1e-9) {
-				rt.Fatalf("at %v the keepers give out %.2f of %.2f", now, sum, most)
+				rt.Fatalf("at %v the coordinators give out %.2f calls/s, limit %.2f", now, sum, most)
 			}
 		}
 		for range rapid.IntRange(5, 80).Draw(rt, "steps") {
 			now += time.Duration(rapid.IntRange(1, 400).Draw(rt, "ms")) * time.Millisecond
 			i := rapid.IntRange(0, domains-1).Draw(rt, "keeper")
-			for _, k := range keepers {
+			for _, k := range coordinators {
 				k.Take(now, Report{})
 			}
-			keepers[i].Take(now, Report{Used: map[string]int{"ws": rapid.IntRange(0, 60).Draw(rt, "used")}})
+			coordinators[i].Take(now, Report{Used: map[string]int{"ws": rapid.IntRange(0, 60).Draw(rt, "used")}})
 			check()
 			lender := (i + rapid.IntRange(1, domains-1).Draw(rt, "lender")) % domains
-			needs, asked := keepers[i].Needs(now), now
-			loans := keepers[lender].Lend(now, LoanRequest{Domain: fmt.Sprint(i), Needs: needs})
+			needs, asked := coordinators[i].Needs(now), now
+			leasedRates := coordinators[lender].Lend(now, LoanRequest{Domain: fmt.Sprint(i), Needs: needs})
 			check()
 			if rapid.Bool().Draw(rt, "heard") {
 				now += time.Duration(rapid.IntRange(0, 300).Draw(rt, "late")) * time.Millisecond
-				keepers[i].Borrow(now, asked, fmt.Sprint(lender), loans)
+				coordinators[i].Borrow(now, asked, fmt.Sprint(lender), leasedRates)
 				check()
 			}
 		}
 	})
 }
 
-// TestAKeeperOfManyWorkspacesKeepsThoseThatCall covers what a keeper holds in memory.
-func TestAKeeperOfManyWorkspacesKeepsThoseThatCall(t *testing.T) {
+// TestCoordinatorDropsIdleBuckets checks that a coordinator's memory does not grow with
+// workspaces that no longer send calls.
+func TestCoordinatorDropsIdleBuckets(t *testing.T) {
 	is := is.New(t)
 	limits := map[string]Limit{}
 	used := map[string]int{}
@@ -448,23 +457,23 @@
 		k.Take(now, Report{Used: map[string]int{"ws1": 1}})
 	}
 	is.Equal(len(k.buckets), 1)
-	k.Set(map[string]Limit{}, 3) // limits that are gone
+	k.Set(map[string]Limit{}, 3) // removes all limits
 	is.Equal(len(k.buckets), 0)
 	is.Equal(k.Take(now, Report{Wanted: map[string]int{"ws1": 3}}).Granted["ws1"], 3)
 }
 
-// TestALimitIsUsedUp demands that a workspace which sends a little more than its limit gets
-// nearly all of it.
-func TestALimitIsUsedUp(t *testing.T) {
+// TestWorkspaceAboveItsLimitGetsNearlyAllOfIt checks that a workspace which sends a
+// little more than its limit gets at least 95 % of it.
+func TestWorkspaceAboveItsLimitGetsNearlyAllOfIt(t *testing.T) {
 	for _, size := range []struct{ daemons, domains int }{{13, 3}, {65, 3}, {260, 7}} {
 		f := newFleet(size.daemons, size.domains, 1)
 		const from, until = 8 * time.Second, 20 * time.Second
 		for _, i := range []int{0, 7, 30} {
-			f.spaces[i].times = 1.25 * fleetQuota
+			f.workspaces[i].rateFactor = 1.25 * fleetLimitFactor
 		}
 		f.run(until)
 		for _, i := range []int{0, 7, 30} {
-			s := f.spaces[i]
+			s := f.workspaces[i]
 			n := 0
 			for _, at := range s.admitted {
 				if at >= from {
@@ -472,9 +481,9 @@
 				}
 			}
 			part := float64(n) / (f.limits[s.name].Rate * (until - from).Seconds())
-			t.Logf("%d daemons, %s at %.0f calls/s: %.3f of its rate is let in", size.daemons, s.name, f.limits[s.name].Rate, part)
+			t.Logf("%d daemons, %s at %.0f calls/s: %.3f of its rate admitted", size.daemons, s.name, f.limits[s.name].Rate, part)
 			if part < 0.95 {
-				t.Errorf("%d daemons, %s: %.3f of its rate is let in", size.daemons, s.name, part)
+				t.Errorf("%d daemons, %s: %.3f of its rate admitted, want at least 0.95", size.daemons, s.name, part)
 			}
 		}
 	}
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -1,13 +1,17 @@
-// Package quota decides which calls are within a limit that holds for all daemons together.
+// Package quota decides which calls are within a rate limit that holds across all
+// daemons.
 //
-// A limit is divided evenly among the failure domains. In each, one daemon is the keeper: it
-// counts what all of them let in, in a token bucket for each workspace. As long as there is
-// room to spare, daemons let calls in at once and report them afterwards; where it runs
-// short, they ask first. Keepers lend one another what they do not need, for a short term
-// that ends at the borrower before it ends at the lender, so that the sum is the limit at
-// any time, also while failure domains are cut off from each other.
+// A limit is divided evenly among the failure domains. In each, one daemon is the limit
+// coordinator (type Keeper): it counts the calls that all daemons of the domain admit, in
+// a token bucket for each workspace. As long as a bucket holds enough tokens, daemons
+// admit calls at once and report them afterwards; when it runs low, they request a grant
+// first. Coordinators lease rate that they do not need to one another, for a short time.
+// A lease expires at the borrower before it expires at the lender, so that the rates add
+// up to the limit at any time, also while failure domains are partitioned from each
+// other.
 //
-// All times are boot times of this VM. Nothing here has a goroutine or a connection.
+// All times are boot times of this VM. The package starts no goroutines and opens no
+// connections.
 package quota
 
 import (
@@ -17,67 +21,73 @@
 	"time"
 )
 
-// Limit bounds the calls of a workspace. Rate zero: there is no limit.
+// Limit bounds the calls of a workspace. If Rate is zero, there is no limit.
 type Limit struct {
-	// Rate is in calls a second, Burst in calls beyond it.
+	// Rate is in calls per second; Burst is the number of calls allowed beyond it.
 	Rate, Burst float64
 }
 
-// Tolerance says how limits are measured, and by how much they may be passed: in each
-// Window a limit allows its rate and its burst, and beyond it a part of that and so many
-// calls. That pays for what is let in before others know of it.
+// Tolerance says how limits are measured and by how much they may be exceeded. A limit
+// allows its rate and its burst in each Window, plus the fraction Part of that sum, plus
+// Calls calls. The excess covers the calls that are admitted before other daemons learn
+// of them.
 type Tolerance struct {
-	// Window is zero where a burst may come once, as with a token bucket.
+	// Window is zero if a burst is allowed only once, as with a plain token bucket.
 	Window time.Duration
 	Part   float64
 	Calls  float64
 }
 
-// Report says what a daemon has let in, and asks for more.
+// Report is a daemon's message to its coordinator: the calls that it has admitted and the
+// calls for which it requests a grant.
 type Report struct {
-	// Used are the calls let in since the last report, by workspace, less those given back.
+	// Used is the number of calls admitted since the last report, by workspace, less
+	// those given back.
 	Used map[string]int `json:"used,omitempty"`
-	// Wanted are the calls that wait for a grant.
+	// Wanted is the number of calls that wait for a grant, by workspace.
 	Wanted map[string]int `json:"wanted,omitempty"`
 }
 
-// Reply is a keeper's answer to a report.
+// Reply is a coordinator's answer to a report.
 type Reply struct {
-	// Granted are the calls that may be let in, of those wanted.
+	// Granted is how many of the wanted calls may be admitted, by workspace.
 	Granted map[string]int `json:"granted,omitempty"`
-	// Short are the workspaces whose calls need a grant from now on, with when
-	// those that got none may come back, in milliseconds.
+	// Short holds the workspaces whose calls need a grant from now on, with the
+	// retry-after time of calls that got none, in milliseconds.
 	Short map[string]int64 `json:"short,omitempty"`
 }
 
 const (
-	// spread is the part of a burst that is given out evenly: a limit allows its burst in
-	// each window, not once. The rest may come at once.
-	spread = 0.5
-	// callsPart is the part of Tolerance.Calls that buckets hold beyond their burst: calls
-	// of a workspace that sends few come in lumps. The rest, and Tolerance.Part, are for
-	// what is let in before a keeper has heard of it.
-	callsPart = 0.75
-	// leastBurst is how many calls a bucket holds at least: one that holds less than
-	// one would let nobody in.
-	leastBurst = 1
-	// shortFor is the time for which a bucket must last at its full rate, or calls need
-	// grants: as long as reports and replies take.
-	shortFor = 0.25
-	// demandOver is the time over which demand is averaged, in seconds.
-	demandOver = 1.0
-	// cautious is the part of its rate that a keeper gives out in its first Term: what the
-	// one before it has lent may still be in use.
-	cautious = 0.75
-	// silence is after how long without reports a keeper has not been one: others have
-	// let calls in that it does not know of.
-	silence = time.Second
-	// leastReturn and longestReturn bound when to come back.
-	leastReturn   = 100 * time.Millisecond
-	longestReturn = 3 * time.Second
+	// evenBurstFraction is the part of a burst that is added to the rate, spread evenly
+	// over the window: a limit allows its burst in each window, not just once. The rest
+	// of the burst may come at once.
+	evenBurstFraction = 0.5
+	// toleranceCallsFraction is the part of Tolerance.Calls that buckets hold beyond
+	// their burst: the calls of a workspace that sends few come in clusters. The rest,
+	// and Tolerance.Part, cover calls that are admitted before the coordinator learns of
+	// them.
+	toleranceCallsFraction = 0.75
+	// minCapacity is the least number of tokens that a bucket can hold: one that holds
+	// less than one token would never admit a call.
+	minCapacity = 1
+	// reserveSeconds is how long the tokens in a bucket must last at its full rate; if
+	// they would not, calls need grants. It is the time that a report and its reply take.
+	reserveSeconds = 0.25
+	// demandAverageSeconds is the time over which demand is averaged.
+	demandAverageSeconds = 1.0
+	// startupRateFraction is the part of its rate that a coordinator gives out in its
+	// first Term: what its predecessor leased to other domains may still be in use.
+	startupRateFraction = 0.75
+	// maxReportGap is the time without reports after which a coordinator starts anew:
+	// daemons have meanwhile admitted calls that it has not counted.
+	maxReportGap = time.Second
+	// minRetryAfter and maxRetryAfter bound the retry-after times of refused calls.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 3 * time.Second
 )
 
-// Keeper counts the calls of a failure domain. Safe for concurrent use.
+// Keeper is the limit coordinator of a failure domain: it counts the domain's calls. Safe
+// for concurrent use.
 type Keeper struct {
 	tolerance Tolerance
 
@@ -85,25 +95,27 @@
 	limits  map[string]Limit
 	domains int
 	buckets map[string]*bucket
-	// since is when this daemon began to keep, heard when the last report came.
-	since, heard time.Duration
+	// startedAt is when this daemon became the coordinator; lastReportAt is when the last
+	// report arrived.
+	startedAt, lastReportAt time.Duration
 }
 
-// bucket is what a keeper knows of a workspace.
+// bucket is a workspace's token bucket, with the workspace's demand and leases.
 type bucket struct {
-	level float64
-	at    time.Duration
-	// demand is how many calls a second come, denied how many of them get no grant.
-	demand, denied float64
-	lent, borrowed terms
+	tokens    float64
+	updatedAt time.Duration
+	// demand is how many calls arrive per second; denied is how many of them get no
+	// grant.
+	demand, denied      float64
+	leasedOut, leasedIn leases
 }
 
-// NewKeeper returns a keeper without limits.
+// NewKeeper returns a coordinator without limits.
 func NewKeeper(t Tolerance) *Keeper {
 	return &Keeper{tolerance: t, domains: 1, buckets: map[string]*bucket{}}
 }
 
-// Set puts limits in force, which are divided among so many failure domains.
+// Set applies limits, each of which is divided among the given number of failure domains.
 func (k *Keeper) Set(limits map[string]Limit, domains int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -111,27 +123,27 @@
 	maps.DeleteFunc(k.buckets, func(name string, _ *bucket) bool { return limits[name].Rate == 0 })
 }
 
-// Take answers a report.
+// Take processes a daemon's report and returns the reply.
 func (k *Keeper) Take(now time.Duration, r Report) Reply {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.heard == 0 || now-k.heard > silence {
-		k.begin(now)
+	if k.lastReportAt == 0 || now-k.lastReportAt > maxReportGap {
+		k.startCounting(now)
 	}
-	k.heard = now
+	k.lastReportAt = now
 	for name, n := range r.Used {
 		if b := k.bucket(now, name); b != nil {
-			b.level = min(b.level-float64(n), k.depth(name))
-			b.demand += float64(max(0, n)) / demandOver
+			b.tokens = min(b.tokens-float64(n), k.capacity(name))
+			b.demand += float64(max(0, n)) / demandAverageSeconds
 		}
 	}
 	reply := Reply{Granted: map[string]int{}, Short: map[string]int64{}}
 	for name, n := range r.Wanted {
 		if b := k.bucket(now, name); b != nil {
-			granted := max(0, min(n, int(math.Floor(b.level))))
-			b.level -= float64(granted)
-			b.demand += float64(n) / demandOver
-			b.denied += float64(n-granted) / demandOver
+			granted := max(0, min(n, int(math.Floor(b.tokens))))
+			b.tokens -= float64(granted)
+			b.demand += float64(n) / demandAverageSeconds
+			b.denied += float64(n-granted) / demandAverageSeconds
 			reply.Granted[name] = granted
 		} else {
 			reply.Granted[name] = n // no limit
@@ -139,86 +151,87 @@
 	}
 	for name := range k.buckets {
 		switch b := k.bucket(now, name); {
-		case b.level < k.reserve(name, b, now):
-			reply.Short[name] = k.comeBack(b, name, now).Milliseconds()
-		case b.idle() && b.level >= k.depth(name):
-			delete(k.buckets, name) // as good as a new one
+		case b.tokens < k.grantThreshold(name, b, now):
+			reply.Short[name] = k.retryAfter(b, name, now).Milliseconds()
+		case b.idle() && b.tokens >= k.capacity(name):
+			delete(k.buckets, name) // equal to a new bucket
 		}
 	}
 	return reply
 }
 
-// idle reports whether nothing is known of a bucket but its level.
+// idle reports whether a bucket holds no information but its tokens.
 func (b *bucket) idle() bool {
-	const rare = 0.01 // calls a second
-	return b.demand < rare && b.lent.sum(b.at, "")+b.borrowed.sum(b.at, "") == 0
+	const idleDemand = 0.01 // calls per second
+	return b.demand < idleDemand && b.leasedOut.sum(b.updatedAt, "")+b.leasedIn.sum(b.updatedAt, "") == 0
 }
 
-// begin forgets what it knew of its daemons: they have asked another keeper, or none.
-func (k *Keeper) begin(now time.Duration) {
-	k.since = now
+// startCounting resets all buckets: the domain's daemons have meanwhile reported to
+// another coordinator, or to none.
+func (k *Keeper) startCounting(now time.Duration) {
+	k.startedAt = now
 	for _, b := range k.buckets {
-		b.level, b.demand, b.denied, b.at = 0, 0, 0, now
+		b.tokens, b.demand, b.denied, b.updatedAt = 0, 0, 0, now
 	}
 }
 
-// bucket returns a workspace's bucket as of now, or nil if it has no limit.
+// bucket returns a workspace's bucket as of now, or nil if the workspace has no limit.
 func (k *Keeper) bucket(now time.Duration, name string) *bucket {
 	if k.limits[name].Rate == 0 {
 		return nil
 	}
 	b := k.buckets[name]
 	if b == nil {
-		b = &bucket{at: k.since}
+		b = &bucket{updatedAt: k.startedAt}
 		k.buckets[name] = b
 	}
-	passed := (now - b.at).Seconds()
-	if passed > 0 {
-		b.level = min(b.level+passed*k.rate(name, b, now), k.depth(name))
-		fade := math.Exp(-passed / demandOver)
-		b.demand *= fade
-		b.denied *= fade
-		b.at = now
+	elapsedSeconds := (now - b.updatedAt).Seconds()
+	if elapsedSeconds > 0 {
+		b.tokens = min(b.tokens+elapsedSeconds*k.rate(name, b, now), k.capacity(name))
+		decay := math.Exp(-elapsedSeconds / demandAverageSeconds)
+		b.demand *= decay
+		b.denied *= decay
+		b.updatedAt = now
 	}
 	return b
 }
 
-// rate is what this keeper may give out now, in calls a second.
+// rate is what this coordinator may give out now, in calls per second.
 func (k *Keeper) rate(name string, b *bucket, now time.Duration) float64 {
-	return max(0, k.own(name, now)-b.lent.sum(now, "")+b.borrowed.sum(now, ""))
+	return max(0, k.ownRate(name, now)-b.leasedOut.sum(now, "")+b.leasedIn.sum(now, ""))
 }
 
-// own is its part of a limit.
-func (k *Keeper) own(name string, now time.Duration) float64 {
+// ownRate is this failure domain's part of a limit, without leases, in calls per second.
+func (k *Keeper) ownRate(name string, now time.Duration) float64 {
 	limit := k.limits[name]
 	rate := limit.Rate
-	if w := k.tolerance.Window.Seconds(); w > 0 {
-		rate += spread * limit.Burst / w
+	if windowSeconds := k.tolerance.Window.Seconds(); windowSeconds > 0 {
+		rate += evenBurstFraction * limit.Burst / windowSeconds
 	}
 	rate /= float64(k.domains)
-	if now-k.since < Term {
-		rate *= cautious
+	if now-k.startedAt < Term {
+		rate *= startupRateFraction
 	}
 	return rate
 }
 
-// depth is the most that a bucket holds.
-func (k *Keeper) depth(name string) float64 {
+// capacity is the most tokens that a bucket holds.
+func (k *Keeper) capacity(name string) float64 {
 	burst := k.limits[name].Burst
 	if k.tolerance.Window > 0 {
-		burst *= 1 - spread
+		burst *= 1 - evenBurstFraction
 	}
-	return max(leastBurst, (burst+callsPart*k.tolerance.Calls)/float64(k.domains))
+	return max(minCapacity, (burst+toleranceCallsFraction*k.tolerance.Calls)/float64(k.domains))
 }
 
-// reserve is the level below which calls need grants.
-func (k *Keeper) reserve(name string, b *bucket, now time.Duration) float64 {
-	return max(1, min(shortFor*k.rate(name, b, now), k.depth(name)/2))
+// grantThreshold is the number of tokens below which calls need grants.
+func (k *Keeper) grantThreshold(name string, b *bucket, now time.Duration) float64 {
+	return max(1, min(reserveSeconds*k.rate(name, b, now), k.capacity(name)/2))
 }
 
-// comeBack is when a call that got no grant will find room: after those that were denied
-// lately as well.
-func (k *Keeper) comeBack(b *bucket, name string, now time.Duration) time.Duration {
-	wait := (1 - b.level + b.denied) / max(k.rate(name, b, now), 1/longestReturn.Seconds())
-	return min(max(leastReturn, time.Duration(wait*float64(time.Second))), longestReturn)
+// retryAfter is when a call that got no grant can expect one: once the recently denied
+// calls have been served as well.
+func (k *Keeper) retryAfter(b *bucket, name string, now time.Duration) time.Duration {
+	wait := (1 - b.tokens + b.denied) / max(k.rate(name, b, now), 1/maxRetryAfter.Seconds())
+	return min(max(minRetryAfter, time.Duration(wait*float64(time.Second))), maxRetryAfter)
 }
--- a/internal/quota/lend.go
+++ b/internal/quota/lend.go
@@ -3,142 +3,146 @@
 import "time"
 
 const (
-	// Term is for how long a keeper lends. A daemon that borrowed and is cut off goes back
-	// to its own part after it.
+	// Term is the duration of a lease. A daemon that borrowed rate and is then
+	// partitioned falls back to its own part when the lease expires.
 	Term = time.Second
-	// fullFrom is the part of its own rate from which a keeper's demand makes it borrow.
-	fullFrom = 0.8
-	// headroom is what a borrower asks for, and a lender keeps, as a multiple of its demand.
-	headroom = 1.3
-	// leastLoan is the least part of a limit that is worth asking for.
-	leastLoan = 0.01
+	// demandThreshold is the demand, as a part of its own rate, from which a coordinator
+	// requests leases.
+	demandThreshold = 0.8
+	// demandHeadroom is the rate that a borrower requests and a lender keeps for itself,
+	// as a multiple of its demand.
+	demandHeadroom = 1.3
+	// minLeaseFraction is the smallest part of a limit that is worth requesting.
+	minLeaseFraction = 0.01
 )
 
 const (
-	// askFirst is the interval at which a keeper that lacks room asks others for theirs,
-	// askLast the longest one, while they have none to spare.
-	askFirst = 250 * time.Millisecond
-	askLast  = 500 * time.Millisecond
+	// initialRequestInterval is the interval at which a coordinator that lacks rate
+	// requests leases; maxRequestInterval is the longest interval, while the others have
+	// none to spare.
+	initialRequestInterval = 250 * time.Millisecond
+	maxRequestInterval     = 500 * time.Millisecond
 )
 
-// AskAgain returns when to ask others again, after it was asked at this interval before and
-// they have lent something or not.
-func AskAgain(before time.Duration, lent bool) time.Duration {
-	if lent || before == 0 {
-		return askFirst
+// AskAgain returns the interval after which to request leases again, given the previous
+// interval and whether the other coordinators granted anything.
+func AskAgain(previous time.Duration, granted bool) time.Duration {
+	if granted || previous == 0 {
+		return initialRequestInterval
 	}
-	return min(2*before, askLast)
+	return min(2*previous, maxRequestInterval)
 }
 
-// term is a rate that is lent to, or borrowed from, a failure domain until then. A later
-// one takes its place; until it ends both sides count the higher of the two, so that it does
-// not matter whether the answer got lost.
-type term struct {
-	with  string
-	rate  float64
-	until time.Duration
+// lease is a rate that is leased to, or from, a failure domain until it expires. A later
+// lease replaces an earlier one; until the earlier one expires, both sides count the
+// higher of the two rates, so that it does not matter whether the answer was lost.
+type lease struct {
+	domain    string
+	rate      float64
+	expiresAt time.Duration
 }
 
-// terms are those that have not ended.
-type terms []term
+// leases is a list of leases that had not expired when it was built.
+type leases []lease
 
-// sum returns what they come to now, without those with one domain.
-func (list terms) sum(now time.Duration, without string) float64 {
+// sum returns the total rate of the leases in force now, without those of one domain.
+func (list leases) sum(now time.Duration, excludedDomain string) float64 {
 	sum := 0.0
-	for i, t := range list {
-		if now < t.until && t.with != without && !list.covered(now, i) {
-			sum += t.rate
+	for i, l := range list {
+		if now < l.expiresAt && l.domain != excludedDomain && !list.superseded(now, i) {
+			sum += l.rate
 		}
 	}
 	return sum
 }
 
-// covered reports whether another term with the same domain counts in the place of the
+// superseded reports whether another lease with the same domain counts instead of the
 // i-th.
-func (list terms) covered(now time.Duration, i int) bool {
-	t := list[i]
-	for j, o := range list {
-		if o.with == t.with && now < o.until && (o.rate > t.rate || o.rate == t.rate && j > i) {
+func (list leases) superseded(now time.Duration, i int) bool {
+	l := list[i]
+	for j, other := range list {
+		if other.domain == l.domain && now < other.expiresAt && (other.rate > l.rate || other.rate == l.rate && j > i) {
 			return true
 		}
 	}
 	return false
 }
 
-// add returns the terms with one more, without those that do not count any more.
-func (list terms) add(now time.Duration, t term) terms {
-	var live terms
+// add returns the list with one more lease, without those that are superseded or expired.
+func (list leases) add(now time.Duration, added lease) leases {
+	var kept leases
 	for _, old := range list {
-		if now < old.until && (old.with != t.with || old.rate > t.rate) {
-			live = append(live, old)
+		if now < old.expiresAt && (old.domain != added.domain || old.rate > added.rate) {
+			kept = append(kept, old)
 		}
 	}
-	return append(live, t)
+	return append(kept, added)
 }
 
-// LoanRequest asks a keeper for what another lacks.
+// LoanRequest asks another domain's coordinator to lease the rates that this one lacks.
 type LoanRequest struct {
-	// Domain is the failure domain that it keeps.
+	// Domain is the failure domain of the requesting coordinator.
 	Domain string `json:"domain"`
-	// Needs are rates, by workspace.
+	// Needs are the missing rates, by workspace.
 	Needs map[string]float64 `json:"needs"`
 }
 
-// Subtract takes what was lent off the needs.
-func (r LoanRequest) Subtract(loans map[string]float64) {
-	for name, rate := range loans {
+// Subtract removes what was leased from the needs.
+func (r LoanRequest) Subtract(leasedRates map[string]float64) {
+	for name, rate := range leasedRates {
 		if r.Needs[name] -= rate; r.Needs[name] <= 0 {
 			delete(r.Needs, name)
 		}
 	}
 }
 
-// Needs returns the rates that this keeper lacks beyond its own, by workspace.
+// Needs returns the rates that this coordinator lacks beyond its own, by workspace.
 func (k *Keeper) Needs(now time.Duration) map[string]float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	needs := map[string]float64{}
 	for name := range k.buckets {
 		b := k.bucket(now, name)
-		own := k.own(name, now)
-		limit := own * float64(k.domains)
-		if lacks := min(headroom*b.demand, limit) - own; b.demand > fullFrom*own && lacks > leastLoan*limit {
-			needs[name] = lacks
+		ownRate := k.ownRate(name, now)
+		limitRate := ownRate * float64(k.domains)
+		if shortfall := min(demandHeadroom*b.demand, limitRate) - ownRate; b.demand > demandThreshold*ownRate && shortfall > minLeaseFraction*limitRate {
+			needs[name] = shortfall
 		}
 	}
 	return needs
 }
 
-// Lend returns what of these needs this keeper spares for a Term from now on. It takes the
-// place of what it lent to that domain before.
+// Lend returns the part of the needed rates that this coordinator leases for a Term from
+// now on. It replaces the leases that it granted to that domain before.
 func (k *Keeper) Lend(now time.Duration, r LoanRequest) map[string]float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	loans := map[string]float64{}
-	if k.heard == 0 || now-k.heard > silence || now-k.since < Term {
-		return loans // it does not know what its own daemons need
+	leasedRates := map[string]float64{}
+	if k.lastReportAt == 0 || now-k.lastReportAt > maxReportGap || now-k.startedAt < Term {
+		return leasedRates // the demand of its own daemons is not known
 	}
-	for name, lacks := range r.Needs {
+	for name, need := range r.Needs {
 		b := k.bucket(now, name)
 		if b == nil {
 			continue
 		}
-		spare := k.own(name, now) - b.lent.sum(now, r.Domain) - headroom*b.demand - leastLoan*k.limits[name].Rate
-		if loan := min(lacks, spare); loan > 0 {
-			b.lent = b.lent.add(now, term{r.Domain, loan, now + Term})
-			loans[name] = loan
+		spare := k.ownRate(name, now) - b.leasedOut.sum(now, r.Domain) - demandHeadroom*b.demand - minLeaseFraction*k.limits[name].Rate
+		if leasedRate := min(need, spare); leasedRate > 0 {
+			b.leasedOut = b.leasedOut.add(now, lease{r.Domain, leasedRate, now + Term})
+			leasedRates[name] = leasedRate
 		}
 	}
-	return loans
+	return leasedRates
 }
 
-// Borrow takes in what the keeper of a domain lent when it was asked at that time.
-func (k *Keeper) Borrow(now, asked time.Duration, domain string, loans map[string]float64) {
+// Borrow records what a domain's coordinator leased in answer to a request sent at
+// requestedAt.
+func (k *Keeper) Borrow(now, requestedAt time.Duration, domain string, leasedRates map[string]float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for name, rate := range loans {
+	for name, rate := range leasedRates {
 		if b := k.bucket(now, name); b != nil && rate > 0 {
-			b.borrowed = b.borrowed.add(now, term{domain, rate, asked + Term})
+			b.leasedIn = b.leasedIn.add(now, lease{domain, rate, requestedAt + Term})
 		}
 	}
 }
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -8,174 +8,184 @@
 )
 
 const (
-	// wordHolds is how long a keeper's word counts.
-	wordHolds = 500 * time.Millisecond
-	// unheard is for how long a daemon lets a workspace's calls in at the rate of the whole
-	// limit before it asks the keeper again, if nothing came from there; leastUnheard is how
-	// many calls that are at least.
-	unheard      = 0.2
-	leastUnheard = 2
-	// fallbackBurst is how many calls a daemon lets in at once that hears from no keeper, and
-	// fallbackPart the part of its even share: those that still have a keeper use theirs.
-	fallbackBurst = 1
-	fallbackPart  = 0.5
+	// replyLifetime is how long a coordinator's reply is valid.
+	replyLifetime = 500 * time.Millisecond
+	// maxUnackedSeconds bounds the calls that a daemon admits of a workspace without a
+	// reply from the coordinator, as a time at the rate of the whole limit; then it
+	// requests grants. minUnackedCalls is added to that number of calls.
+	maxUnackedSeconds = 0.2
+	minUnackedCalls   = 2
+	// fallbackBurst is how many calls a daemon without a valid reply admits at once, and
+	// fallbackFraction is the part of its even share that it admits: daemons that still
+	// reach a coordinator use their shares too.
+	fallbackBurst    = 1
+	fallbackFraction = 0.5
 )
 
-// Verdict is what becomes of a call.
+// Verdict is the decision on a call.
 type Verdict int
 
 // The verdicts.
 const (
-	// Admitted: it is within the limit.
+	// Admitted: the call is within the limit.
 	Admitted Verdict = iota
-	// Ask: it needs a grant of the keeper.
+	// Ask: the call needs a grant from the coordinator.
 	Ask
-	// Denied: it is beyond the limit.
+	// Denied: the call is beyond the limit.
 	Denied
 )
 
-// Share is what one daemon knows of limits, and what it has let in. Safe for concurrent use.
+// Share is one daemon's state of the limits: the last reply of its coordinator, and the
+// calls that it has admitted. Safe for concurrent use.
 type Share struct {
 	mu sync.Mutex
-	// heard is when the keeper was asked for its last word; zero: never.
-	heard time.Duration
-	short map[string]int64
-	used  map[string]int
-	// since are the calls let in since the keeper was last heard.
-	since    map[string]int
+	// answeredReportAt is when the newest report that got a reply was sent; zero: none
+	// has yet.
+	answeredReportAt time.Duration
+	// retryAfterMS holds the workspaces whose calls need grants, with the retry-after
+	// time of calls that got none.
+	retryAfterMS map[string]int64
+	// used counts the calls admitted since the last report, by workspace.
+	used map[string]int
+	// unacked counts the calls admitted since the last reply, by workspace.
+	unacked  map[string]int
 	fallback map[string]*fallbackBucket
-	// pace is how many calls a second were let in lately.
-	pace map[string]*pace
-	// denied is until when calls of a workspace are denied without asking, since the keeper
-	// has just granted none.
-	denied map[string]time.Duration
+	// rates holds the average rates at which calls were admitted recently.
+	rates map[string]*rateAverage
+	// deniedUntil is the time until which a workspace's calls are denied without a
+	// request, since the coordinator has just granted none.
+	deniedUntil map[string]time.Duration
 }
 
-// fallbackBucket is the bucket of a daemon that hears from no keeper.
+// fallbackBucket is the token bucket that a daemon uses while it has no valid reply of a
+// coordinator.
 type fallbackBucket struct {
-	level float64
-	at    time.Duration
+	tokens    float64
+	updatedAt time.Duration
 }
 
-// pace averages calls over time.
-type pace struct {
+// rateAverage is a decaying average of calls per second.
+type rateAverage struct {
 	rate float64
 	at   time.Duration
 }
 
-// note counts a call.
-func (p *pace) note(now time.Duration) {
-	p.rate = p.now(now) + 1/paceOver
-	p.at = now
+// record counts a call.
+func (a *rateAverage) record(now time.Duration) {
+	a.rate = a.current(now) + 1/rateAverageSeconds
+	a.at = now
 }
 
-// now is the average as of now.
-func (p *pace) now(now time.Duration) float64 {
-	return p.rate * math.Exp(-(now-p.at).Seconds()/paceOver)
+// current returns the average as of now.
+func (a *rateAverage) current(now time.Duration) float64 {
+	return a.rate * math.Exp(-(now-a.at).Seconds()/rateAverageSeconds)
 }
 
-// paceOver is the time over which a daemon averages what it lets in, in seconds.
-const paceOver = 3.0
+// rateAverageSeconds is the time over which a daemon averages the calls that it admits.
+const rateAverageSeconds = 3.0
 
-// NewShare returns the share of a daemon that has not heard from a keeper.
+// NewShare returns the share of a daemon that has had no reply from a coordinator yet.
 func NewShare() *Share {
-	return &Share{used: map[string]int{}, since: map[string]int{}, fallback: map[string]*fallbackBucket{}, pace: map[string]*pace{}, denied: map[string]time.Duration{}}
+	return &Share{used: map[string]int{}, unacked: map[string]int{}, fallback: map[string]*fallbackBucket{}, rates: map[string]*rateAverage{}, deniedUntil: map[string]time.Duration{}}
 }
 
-// Admit decides on a call. Daemons is how many there are: one that hears from no keeper
-// lets in its even part, since each of the others may do so as well. After is when a call
-// that is denied may come back.
-func (s *Share) Admit(now time.Duration, workspace string, l Limit, daemons int) (v Verdict, after time.Duration) {
+// Admit decides on a call. daemons is the number of daemons in the fleet: a daemon
+// without a valid reply uses its even share of the limit, since each of the others may do
+// the same. retryAfter is set for a call that is denied.
+func (s *Share) Admit(now time.Duration, workspace string, limit Limit, daemons int) (verdict Verdict, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.heard == 0 || now-s.heard > wordHolds {
-		return s.admitFallback(now, workspace, l, daemons)
+	if s.answeredReportAt == 0 || now-s.answeredReportAt > replyLifetime {
+		return s.admitFallback(now, workspace, limit, daemons)
 	}
-	if _, short := s.short[workspace]; short {
-		if now < s.denied[workspace] {
-			return Denied, s.comeBack(workspace)
+	if _, needsGrant := s.retryAfterMS[workspace]; needsGrant {
+		if now < s.deniedUntil[workspace] {
+			return Denied, s.retryAfter(workspace)
 		}
 		return Ask, 0
 	}
-	if float64(s.since[workspace]) >= leastUnheard+unheard*l.Rate {
+	if float64(s.unacked[workspace]) >= minUnackedCalls+maxUnackedSeconds*limit.Rate {
 		return Ask, 0
 	}
-	s.since[workspace]++
-	s.admit(now, workspace)
+	s.unacked[workspace]++
+	s.recordAdmitted(now, workspace)
 	return Admitted, 0
 }
 
-// admit counts a call that is let in.
-func (s *Share) admit(now time.Duration, workspace string) {
+// recordAdmitted counts an admitted call that the coordinator has not counted yet.
+func (s *Share) recordAdmitted(now time.Duration, workspace string) {
 	s.used[workspace]++
-	s.note(now, workspace)
+	s.recordRate(now, workspace)
 }
 
-func (s *Share) note(now time.Duration, workspace string) {
-	p := s.pace[workspace]
+func (s *Share) recordRate(now time.Duration, workspace string) {
+	p := s.rates[workspace]
 	if p == nil {
-		p = &pace{}
-		s.pace[workspace] = p
+		p = &rateAverage{}
+		s.rates[workspace] = p
 	}
-	p.note(now)
+	p.record(now)
 }
 
-// Granted takes note of a call that the keeper granted, and has counted.
+// Granted records a call that the coordinator granted, and has therefore counted.
 func (s *Share) Granted(now time.Duration, workspace string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.note(now, workspace)
+	s.recordRate(now, workspace)
 }
 
-// admitFallback decides without a keeper: calls go on at the pace of when there was one, which
-// the limit allowed, or at a part of the even share.
-func (s *Share) admitFallback(now time.Duration, workspace string, l Limit, daemons int) (Verdict, time.Duration) {
-	rate := fallbackPart * l.Rate / float64(max(1, daemons))
-	if p := s.pace[workspace]; p != nil {
+// admitFallback decides without a coordinator: calls are admitted at the rate at which
+// they were admitted while there was one, which the limit allowed, or at a part of the
+// even share if that is more.
+func (s *Share) admitFallback(now time.Duration, workspace string, limit Limit, daemons int) (Verdict, time.Duration) {
+	rate := fallbackFraction * limit.Rate / float64(max(1, daemons))
+	if p := s.rates[workspace]; p != nil {
 		rate = max(rate, p.rate)
 	}
 	b := s.fallback[workspace]
 	if b == nil {
-		// Half of the daemons let the first call in, so that those of a workspace which
-		// calls rarely are not all denied, nor all of many daemons' let in.
-		b = &fallbackBucket{level: fallbackBurst * (0.5 + rand.Float64()), at: now}
+		// The initial tokens are random, so that half of the daemons admit a first call:
+		// of a workspace that calls rarely, neither are all calls denied, nor are the
+		// first calls at all of many daemons admitted.
+		b = &fallbackBucket{tokens: fallbackBurst * (0.5 + rand.Float64()), updatedAt: now}
 		s.fallback[workspace] = b
 	}
-	b.level = min(b.level+rate*(now-b.at).Seconds(), max(b.level, fallbackBurst))
-	b.at = now
-	if b.level < 1 {
-		return Denied, min(longestReturn, max(leastReturn, time.Duration((1-b.level)/rate*float64(time.Second))))
+	b.tokens = min(b.tokens+rate*(now-b.updatedAt).Seconds(), max(b.tokens, fallbackBurst))
+	b.updatedAt = now
+	if b.tokens < 1 {
+		return Denied, min(maxRetryAfter, max(minRetryAfter, time.Duration((1-b.tokens)/rate*float64(time.Second))))
 	}
-	b.level--
-	s.used[workspace]++ // the pace stays as it was
+	b.tokens--
+	s.used[workspace]++ // the average rate stays as it was
 	return Admitted, 0
 }
 
-// GiveBack takes back a call that was let in and has not run.
+// GiveBack removes a call that was admitted but did not run from the counts.
 func (s *Share) GiveBack(workspace string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.used[workspace]--
 }
 
-// HasWord reports whether a keeper was ever heard.
+// HasWord reports whether a coordinator has ever replied.
 func (s *Share) HasWord() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heard > 0
+	return s.answeredReportAt > 0
 }
 
-// quiet is for how long a daemon that has nothing to tell does without the keeper's word.
-const quiet = 3 * wordHolds / 5
+// idleReportInterval is how old the newest reply may get before a daemon with nothing to
+// report sends an empty report.
+const idleReportInterval = 3 * replyLifetime / 5
 
-// Idle reports whether there is nothing to tell the keeper, nor to ask it yet.
+// Idle reports whether no report to the coordinator is due.
 func (s *Share) Idle(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.used) == 0 && s.heard > 0 && now-s.heard < quiet
+	return len(s.used) == 0 && s.answeredReportAt > 0 && now-s.answeredReportAt < idleReportInterval
 }
 
-// Report returns what to tell the keeper: it is told once.
+// Report returns the next report to the coordinator and resets the counts in it.
 func (s *Share) Report() Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,8 +194,8 @@
 	return r
 }
 
-// Restore puts back what a report said that no keeper has heard. One that may have heard it
-// is told twice, which errs on the side of the limit.
+// Restore puts back the counts of a report that got no reply. If the coordinator did
+// receive it, the calls are counted twice, which keeps them within the limit.
 func (s *Share) Restore(r Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -194,31 +204,32 @@
 	}
 }
 
-// Heard takes in a keeper's reply to what it was asked at that time.
-func (s *Share) Heard(asked time.Duration, r Reply) {
+// Heard records a coordinator's reply to a report sent at requestedAt.
+func (s *Share) Heard(requestedAt time.Duration, r Reply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if asked >= s.heard {
-		s.heard, s.short = asked, r.Short
-		clear(s.since)
+	if requestedAt >= s.answeredReportAt {
+		s.answeredReportAt, s.retryAfterMS = requestedAt, r.Short
+		clear(s.unacked)
 	}
 	clear(s.fallback)
-	for name := range s.denied {
-		if _, short := s.short[name]; !short {
-			delete(s.denied, name)
+	for name := range s.deniedUntil {
+		if _, needsGrant := s.retryAfterMS[name]; !needsGrant {
+			delete(s.deniedUntil, name)
 		}
 	}
 }
 
-// Deny takes note that the keeper granted a call nothing, and returns when it may come back.
-// Until the next report others need not ask.
-func (s *Share) Deny(now time.Duration, workspace string) (after time.Duration) {
+// Deny records that the coordinator did not grant a call, and returns its retry-after
+// time. Until the next report, further calls of the workspace are denied without a
+// request.
+func (s *Share) Deny(now time.Duration, workspace string) (retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.denied[workspace] = now + leastReturn
-	return s.comeBack(workspace)
+	s.deniedUntil[workspace] = now + minRetryAfter
+	return s.retryAfter(workspace)
 }
 
-func (s *Share) comeBack(workspace string) time.Duration {
-	return max(leastReturn, time.Duration(s.short[workspace])*time.Millisecond)
+func (s *Share) retryAfter(workspace string) time.Duration {
+	return max(minRetryAfter, time.Duration(s.retryAfterMS[workspace])*time.Millisecond)
 }
