--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,6 +1,6 @@
-// Package limits holds callers to the limits of their workspaces over the whole fleet: it
-// carries what package quota decides between the daemons of a failure domain and their
-// keeper, and between keepers.
+// Package limits applies the rate limits of workspaces across the whole fleet: it carries
+// the messages of package quota between the daemons of a failure domain and their limit
+// coordinator, and between coordinators.
 package limits
 
 import (
@@ -24,13 +24,15 @@
 )
 
 const (
-	// reportEvery is the interval at which a daemon tells its keeper what it has let in.
-	reportEvery = 100 * time.Millisecond
-	// keeperTimeout bounds a question to a keeper: within a failure domain an answer takes
-	// a few milliseconds.
-	keeperTimeout = 300 * time.Millisecond
-	// maxReport bounds the bodies between daemons and keepers, in bytes: 10,000 names.
-	maxReport = 1 << 20
+	// reportInterval is the interval at which a daemon reports the calls that it has
+	// admitted to its coordinator.
+	reportInterval = 100 * time.Millisecond
+	// coordinatorTimeout bounds a request to a coordinator: within a failure domain an
+	// answer takes a few milliseconds.
+	coordinatorTimeout = 300 * time.Millisecond
+	// maxBodyBytes bounds the bodies between daemons and coordinators: enough for 10,000
+	// workspace names.
+	maxBodyBytes = 1 << 20
 )
 
 // Paths of the listener for other daemons.
@@ -39,70 +41,72 @@
 	PathLoans  = "/.comfrey/loans"
 )
 
-// idle is how long a connection to a keeper without questions is kept.
-const idle = time.Minute
+// idleConnTimeout is how long an unused connection to a coordinator is kept open.
+const idleConnTimeout = time.Minute
 
-// Config is what a limiter is made of.
+// Config configures a Limiter.
 type Config struct {
 	// Domain is the failure domain of this daemon.
 	Domain string
-	// Tolerance is by how much limits may be passed.
+	// Tolerance is by how much limits may be exceeded.
 	Tolerance quota.Tolerance
-	// Dialer opens connections to keepers.
+	// Dialer opens connections to coordinators.
 	Dialer *net.Dialer
-	// Metrics counts the questions to keepers.
+	// Metrics counts the requests to coordinators.
 	Metrics metrics.Registry
 	Logger  zerolog.Logger
 }
 
-// Limiter holds callers to the limits of their workspaces. Safe for concurrent use.
+// Limiter applies the rate limits of workspaces to their calls. Safe for concurrent use.
 type Limiter struct {
-	domain string
-	share  *quota.Share
-	keeper *quota.Keeper
-	client *http.Client
-	logger zerolog.Logger
-	// asks counts the questions to keepers, failed those without an answer.
-	asks   metrics.Counter
-	failed metrics.Counter
-	view   atomic.Pointer[view.View]
-	// started is set once the daemon reports.
-	started sync.Once
-	// kick gets a token when a call waits.
-	kick chan struct{}
-	// borrowing is set while this keeper asks others. After it, it pauses for so long, as a
-	// time.Duration.
-	borrowing atomic.Bool
-	pause     atomic.Int64
+	domain      string
+	share       *quota.Share
+	coordinator *quota.Keeper
+	client      *http.Client
+	logger      zerolog.Logger
+	// requests counts the requests to coordinators, failedRequests those without an
+	// answer.
+	requests       metrics.Counter
+	failedRequests metrics.Counter
+	view           atomic.Pointer[view.View]
+	// startReporting starts the reporting goroutine.
+	startReporting sync.Once
+	// reportNow gets a token when a call waits for a grant, to trigger a report at once.
+	reportNow chan struct{}
+	// requestingLeases is set while this coordinator requests leases of others.
+	// leaseInterval is the pause until the next request, as a time.Duration.
+	requestingLeases atomic.Bool
+	leaseInterval    atomic.Int64
 
 	mu      sync.Mutex
-	waiting map[string][]chan bool
+	waiters map[string][]chan bool
 }
 
 // New returns a limiter without limits.
 func New(cfg Config) *Limiter {
 	return &Limiter{
-		domain: cfg.Domain, share: quota.NewShare(), keeper: quota.NewKeeper(cfg.Tolerance), logger: cfg.Logger,
-		client: &http.Client{Timeout: keeperTimeout, Transport: &http.Transport{DialContext: cfg.Dialer.DialContext, IdleConnTimeout: idle}},
-		asks:   metrics.GetOrRegisterCounter("limits.asks", cfg.Metrics), failed: metrics.GetOrRegisterCounter("limits.asks_failed", cfg.Metrics),
-		kick: make(chan struct{}, 1), waiting: map[string][]chan bool{},
+		domain: cfg.Domain, share: quota.NewShare(), coordinator: quota.NewKeeper(cfg.Tolerance), logger: cfg.Logger,
+		client:   &http.Client{Timeout: coordinatorTimeout, Transport: &http.Transport{DialContext: cfg.Dialer.DialContext, IdleConnTimeout: idleConnTimeout}},
+		requests: metrics.GetOrRegisterCounter("limits.asks", cfg.Metrics), failedRequests: metrics.GetOrRegisterCounter("limits.asks_failed", cfg.Metrics),
+		reportNow: make(chan struct{}, 1), waiters: map[string][]chan bool{},
 	}
 }
 
-// Update puts a view's limits in force, and reports from then on until stop ends.
+// Update applies a view's limits. Reporting starts with the first view that has limits,
+// and runs until stop is done.
 func (l *Limiter) Update(stop context.Context, v *view.View) {
 	l.view.Store(v)
 	if v.Routes == nil {
 		return
 	}
 	limits := v.Routes.CallLimits()
-	l.keeper.Set(limits, max(v.Domains, len(v.Keepers)))
+	l.coordinator.Set(limits, max(v.Domains, len(v.Keepers)))
 	if len(limits) > 0 {
-		l.started.Do(func() { go l.run(stop) })
+		l.startReporting.Do(func() { go l.run(stop) })
 	}
 }
 
-// Of returns a workspace's limit. False: it has none.
+// Of returns a workspace's limit, and whether it has one.
 func Of(v *view.View, workspace string) (quota.Limit, bool) {
 	if workspace == "" {
 		return quota.Limit{}, false
@@ -111,41 +115,43 @@
 	return limit, ok
 }
 
-// HasWord reports whether a keeper was ever heard.
+// HasWord reports whether the limit coordinator has ever replied.
 func (l *Limiter) HasWord() bool { return l.share.HasWord() }
 
-// Admit reports whether a call is within its workspace's limit, or how it is refused.
+// Admit reports whether a call is within its workspace's limit, and otherwise the result
+// with which it is refused.
 func (l *Limiter) Admit(ctx context.Context, v *view.View, workspace string) (bool, outcome.Result) {
 	limit, limited := Of(v, workspace)
 	if !limited {
 		return true, outcome.Result{}
 	}
-	verdict, after := l.share.Admit(boottime.Now(), workspace, limit, v.Daemons)
+	verdict, retryAfter := l.share.Admit(boottime.Now(), workspace, limit, v.Daemons)
 	if verdict == quota.Ask {
-		if l.ask(ctx, workspace) {
+		if l.requestGrant(ctx, workspace) {
 			l.share.Granted(boottime.Now(), workspace)
 			return true, outcome.Result{}
 		}
-		after = l.share.Deny(boottime.Now(), workspace)
+		retryAfter = l.share.Deny(boottime.Now(), workspace)
 	}
-	return verdict == quota.Admitted, outcome.Refuse(outcome.ReasonOverLimit, after)
+	return verdict == quota.Admitted, outcome.Refuse(outcome.ReasonOverLimit, retryAfter)
 }
 
-// GiveBack takes back a call that was admitted and has not run.
+// GiveBack returns a call that was admitted but did not run.
 func (l *Limiter) GiveBack(v *view.View, workspace string) {
 	if _, limited := Of(v, workspace); limited {
 		l.share.GiveBack(workspace)
 	}
 }
 
-// ask waits for a grant of the keeper. What comes for a caller that has gone is given back.
-func (l *Limiter) ask(ctx context.Context, workspace string) bool {
+// requestGrant waits for a grant from the coordinator. A grant that arrives after the
+// caller has gone is given back.
+func (l *Limiter) requestGrant(ctx context.Context, workspace string) bool {
 	grant := make(chan bool, 1)
 	l.mu.Lock()
-	l.waiting[workspace] = append(l.waiting[workspace], grant)
+	l.waiters[workspace] = append(l.waiters[workspace], grant)
 	l.mu.Unlock()
 	select {
-	case l.kick <- struct{}{}:
+	case l.reportNow <- struct{}{}:
 	default: // one token is enough
 	}
 	select {
@@ -161,38 +167,38 @@
 	}
 }
 
-// run reports to the keeper until the daemon stops.
+// run reports to the coordinator until the daemon stops.
 func (l *Limiter) run(stop context.Context) {
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
-	var asked time.Duration
+	var lastRequestAt time.Duration
 	for {
 		select {
 		case <-ticker.C:
-		case <-l.kick:
+		case <-l.reportNow:
 		case <-stop.Done():
-			l.settle(l.taken(), nil)
+			l.resolveWaiters(l.takeWaiters(), nil)
 			return
 		}
 		l.report(stop)
-		if now := boottime.Now(); now-asked >= time.Duration(l.pause.Load()) {
-			asked = now
-			l.borrow(stop)
+		if now := boottime.Now(); now-lastRequestAt >= time.Duration(l.leaseInterval.Load()) {
+			lastRequestAt = now
+			l.requestLeases(stop)
 		}
 	}
 }
 
-// taken returns the calls that wait and takes them off the list.
-func (l *Limiter) taken() map[string][]chan bool {
+// takeWaiters returns the waiting calls and empties the list.
+func (l *Limiter) takeWaiters() map[string][]chan bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	waiting := l.waiting
-	l.waiting = map[string][]chan bool{}
+	waiting := l.waiters
+	l.waiters = map[string][]chan bool{}
 	return waiting
 }
 
-// settle tells those who wait whether they have a grant.
-func (l *Limiter) settle(waiting map[string][]chan bool, granted map[string]int) {
+// resolveWaiters tells each waiting call whether it has a grant.
+func (l *Limiter) resolveWaiters(waiting map[string][]chan bool, granted map[string]int) {
 	for name, list := range waiting {
 		for i, grant := range list {
 			grant <- i < granted[name]
@@ -200,10 +206,11 @@
 	}
 }
 
-// report tells the keeper what was let in, and asks for those who wait.
+// report sends the counts of admitted calls to the coordinator and requests grants for
+// the waiting calls.
 func (l *Limiter) report(stop context.Context) {
 	v := l.view.Load()
-	waiting := l.taken()
+	waiting := l.takeWaiters()
 	if len(waiting) == 0 && l.share.Idle(boottime.Now()) {
 		return
 	}
@@ -214,65 +221,66 @@
 		}
 		r.Wanted[name] = len(list)
 	}
-	asked := boottime.Now()
-	reply, err := l.tell(stop, v.Keepers[l.domain], r)
+	requestedAt := boottime.Now()
+	reply, err := l.sendReport(stop, v.Keepers[l.domain], r)
 	if err != nil {
-		l.failed.Inc(1)
-		l.logger.Debug().Str("step", "report to keeper").Str("peer", v.Keepers[l.domain].Daemon).Err(err).Msg("no answer")
+		l.failedRequests.Inc(1)
+		l.logger.Debug().Str("step", "report to keeper").Str("peer", v.Keepers[l.domain].Daemon).Err(err).Msg("limit coordinator did not answer; refusing the waiting calls and reporting the counts again")
 		l.share.Restore(r)
-		l.settle(waiting, nil)
+		l.resolveWaiters(waiting, nil)
 		return
 	}
-	l.share.Heard(asked, reply)
-	l.settle(waiting, reply.Granted)
+	l.share.Heard(requestedAt, reply)
+	l.resolveWaiters(waiting, reply.Granted)
 }
 
-// tell gives a report to a keeper.
-func (l *Limiter) tell(stop context.Context, k view.Keeper, r quota.Report) (reply quota.Reply, err error) {
-	if k.Local {
-		return l.keeper.Take(boottime.Now(), r), nil
+// sendReport delivers a report to the coordinator.
+func (l *Limiter) sendReport(stop context.Context, coordinator view.Keeper, r quota.Report) (reply quota.Reply, err error) {
+	if coordinator.Local {
+		return l.coordinator.Take(boottime.Now(), r), nil
 	}
-	l.asks.Inc(1)
-	return reply, l.post(stop, k, PathReport, r, &reply)
+	l.requests.Inc(1)
+	return reply, l.post(stop, coordinator, PathReport, r, &reply)
 }
 
-// borrow asks the keepers of other failure domains for what this one lacks.
-func (l *Limiter) borrow(stop context.Context) {
+// requestLeases asks the coordinators of other failure domains for the rates that this
+// one lacks.
+func (l *Limiter) requestLeases(stop context.Context) {
 	v := l.view.Load()
-	if !v.Keepers[l.domain].Local || !l.borrowing.CompareAndSwap(false, true) {
+	if !v.Keepers[l.domain].Local || !l.requestingLeases.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer l.borrowing.Store(false)
-		lent := false
-		request := quota.LoanRequest{Domain: l.domain, Needs: l.keeper.Needs(boottime.Now())}
+		defer l.requestingLeases.Store(false)
+		leased := false
+		request := quota.LoanRequest{Domain: l.domain, Needs: l.coordinator.Needs(boottime.Now())}
 		for domain, k := range v.Keepers {
 			if domain == l.domain || len(request.Needs) == 0 {
 				continue
 			}
-			asked := boottime.Now()
-			var loans map[string]float64
-			if err := l.post(stop, k, PathLoans, request, &loans); err != nil {
-				l.logger.Debug().Str("step", "borrow").Str("peer", k.Daemon).Err(err).Msg("no answer")
+			requestedAt := boottime.Now()
+			var leasedRates map[string]float64
+			if err := l.post(stop, k, PathLoans, request, &leasedRates); err != nil {
+				l.logger.Debug().Str("step", "borrow").Str("peer", k.Daemon).Err(err).Msg("limit coordinator did not answer the lease request; skipping it")
 				continue
 			}
-			l.keeper.Borrow(boottime.Now(), asked, domain, loans)
-			request.Subtract(loans)
-			lent = lent || len(loans) > 0
+			l.coordinator.Borrow(boottime.Now(), requestedAt, domain, leasedRates)
+			request.Subtract(leasedRates)
+			leased = leased || len(leasedRates) > 0
 		}
-		l.pause.Store(int64(quota.AskAgain(time.Duration(l.pause.Load()), lent)))
+		l.leaseInterval.Store(int64(quota.AskAgain(time.Duration(l.leaseInterval.Load()), leased)))
 	}()
 }
 
-func (l *Limiter) post(stop context.Context, k view.Keeper, path string, body, reply any) error {
-	if k.Owner == "" {
-		return errors.New("no keeper is known")
+func (l *Limiter) post(stop context.Context, coordinator view.Keeper, path string, body, reply any) error {
+	if coordinator.Owner == "" {
+		return errors.New("no limit coordinator is known")
 	}
 	b, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequestWithContext(stop, http.MethodPost, "http://"+k.Owner+path, bytes.NewReader(b))
+	req, err := http.NewRequestWithContext(stop, http.MethodPost, "http://"+coordinator.Owner+path, bytes.NewReader(b))
 	if err != nil {
 		return err
 	}
@@ -282,29 +290,30 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return errors.Errorf("keeper answered %s", res.Status)
+		return errors.Errorf("limit coordinator answered %s", res.Status)
 	}
-	return json.NewDecoder(http.MaxBytesReader(nil, res.Body, maxReport)).Decode(reply)
+	return json.NewDecoder(http.MaxBytesReader(nil, res.Body, maxBodyBytes)).Decode(reply)
 }
 
-// ServeHTTP answers other daemons if this one is the keeper of its failure domain.
+// ServeHTTP answers other daemons if this one is the limit coordinator of its failure
+// domain.
 func (l *Limiter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !l.keeps() {
+	if !l.isCoordinator() {
 		http.Error(w, "not the keeper", http.StatusConflict)
 		return
 	}
-	body := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxReport))
+	body := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	var answer any
 	var err error
 	if r.URL.Path == PathReport {
 		var report quota.Report
 		if err = body.Decode(&report); err == nil {
-			answer = l.keeper.Take(boottime.Now(), report)
+			answer = l.coordinator.Take(boottime.Now(), report)
 		}
 	} else {
 		var request quota.LoanRequest
 		if err = body.Decode(&request); err == nil {
-			answer = l.keeper.Lend(boottime.Now(), request)
+			answer = l.coordinator.Lend(boottime.Now(), request)
 		}
 	}
 	if err != nil {
@@ -312,12 +321,13 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// The daemon has gone if this fails; it asks again.
+	// If this fails, the requesting daemon has closed the connection; it asks again.
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-// keeps reports whether this daemon is the keeper of its failure domain.
-func (l *Limiter) keeps() bool {
+// isCoordinator reports whether this daemon is the limit coordinator of its failure
+// domain.
+func (l *Limiter) isCoordinator() bool {
 	v := l.view.Load()
 	return v != nil && v.Keepers[l.domain].Local
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -14,9 +14,10 @@
 	"github.com/comfreygate/comfreygate/internal/view"
 )
 
-// TestOnlyTheKeeperAnswersForLimits asks a daemon that is not one, and one that is, with
-// bodies that cannot be read as well.
-func TestOnlyTheKeeperAnswersForLimits(t *testing.T) {
+// TestOnlyTheLimitCoordinatorAnswers sends reports and lease requests to a daemon that is
+// not the limit coordinator, which must refuse them, and to one that is; malformed bodies
+// must be refused as well.
+func TestOnlyTheLimitCoordinatorAnswers(t *testing.T) {
 	is := is.New(t)
 	l := New(Config{Domain: "d", Dialer: &net.Dialer{}, Metrics: metrics.NewRegistry(), Logger: zerolog.Nop()})
 	post := func(path, body string) int {
