--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -2,48 +2,51 @@
 
 import "maps"
 
-// flowsMost bounds the flows that are remembered: more than wait at one upstream.
-const flowsMost = 256
+// maxFlows bounds the flows whose start tags are kept: more than can wait at one
+// upstream.
+const maxFlows = 256
 
-// flows give each flow its turn. Source: start-time fair queueing (Goyal, Vin and Cheng,
-// SIGCOMM 1996), with attempts of one size. Their owner's mutex guards them.
+// flows orders attempts by start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996),
+// so that flows take turns; all attempts count as equally long. Guarded by the mutex of
+// the owning Gate.
 type flows struct {
-	// now is the highest start that was served.
-	now uint64
-	// next holds the start of a flow's next attempt, of flows that are ahead of now.
-	next map[string]uint64
+	// virtualTime is the highest start tag that was served.
+	virtualTime uint64
+	// nextStart holds the start tag of each flow's next attempt, for flows ahead of
+	// virtualTime.
+	nextStart map[string]uint64
 }
 
-// start returns where an attempt of the flow stands that came now.
-func (f *flows) start(flow string) uint64 { return max(f.now, f.next[flow]) }
+// start returns the start tag of an attempt of the flow that arrives now.
+func (f *flows) start(flow string) uint64 { return max(f.virtualTime, f.nextStart[flow]) }
 
-// wait takes note that an attempt of the flow waits, from that start.
-func (f *flows) wait(flow string, start uint64) {
-	if f.next == nil {
-		f.next = map[string]uint64{}
+// enqueue records that an attempt of the flow waits, with that start tag.
+func (f *flows) enqueue(flow string, start uint64) {
+	if f.nextStart == nil {
+		f.nextStart = map[string]uint64{}
 	}
-	f.next[flow] = start + 1
-	for len(f.next) > flowsMost {
-		f.advance(f.now + 1)
+	f.nextStart[flow] = start + 1
+	for len(f.nextStart) > maxFlows {
+		f.advance(f.virtualTime + 1)
 	}
 }
 
-// serve takes note that an attempt that waited has a slot.
-func (f *flows) serve(start uint64) {
-	if start > f.now {
+// dequeue records that a waiting attempt got a slot.
+func (f *flows) dequeue(start uint64) {
+	if start > f.virtualTime {
 		f.advance(start)
 	}
 }
 
-func (f *flows) advance(now uint64) {
-	f.now = now
-	maps.DeleteFunc(f.next, func(_ string, next uint64) bool { return next <= now })
+func (f *flows) advance(virtualTime uint64) {
+	f.virtualTime = virtualTime
+	maps.DeleteFunc(f.nextStart, func(_ string, next uint64) bool { return next <= virtualTime })
 }
 
-// quit takes note that an attempt that waited has none and never will: the last one of a
-// flow leaves its place to the next.
-func (f *flows) quit(flow string, start uint64) {
-	if f.next[flow] == start+1 {
-		f.next[flow] = start
+// withdraw records that a waiting attempt will never get a slot. If it was the last of
+// its flow, the flow's next attempt gets its start tag.
+func (f *flows) withdraw(flow string, start uint64) {
+	if f.nextStart[flow] == start+1 {
+		f.nextStart[flow] = start
 	}
 }
--- a/internal/admission/flow_test.go
+++ b/internal/admission/flow_test.go
@@ -11,31 +11,32 @@
 	"github.com/comfreygate/comfreygate/internal/config"
 )
 
-// playFlows plays an upstream of six slots and 150 ms a run for 60 s: nine workspaces that ask
-// for 3 runs a second each, and one that asks for 7.5 times as much, together a quarter more
-// than it can serve. It returns the part served of each. Without flows all are of one.
-func playFlows(flows bool) (part []float64) {
+// simulateFlows simulates an upstream with six slots and a service time of 150 ms for a
+// minute: nine workspaces offer 3 calls per second each and one offers 7.5 times as many,
+// together a quarter more than the upstream can serve. It returns the fraction of each
+// workspace's calls that was served. Without flows, all calls belong to the same flow.
+func simulateFlows(withFlows bool) (servedFractions []float64) {
 	const (
-		workspaces = 10
-		slots      = 6
-		tick       = time.Millisecond
-		took       = 150 * time.Millisecond
-		length     = 60 * time.Second
+		workspaces  = 10
+		slots       = 6
+		tick        = time.Millisecond
+		serviceTime = 150 * time.Millisecond
+		duration    = 60 * time.Second
 	)
 	at := time.Unix(1000, 0)
 	g := New(func() time.Time { return at }, slots, slots, at.Add(-time.Hour))
-	asked, served := make([]int, workspaces), make([]int, workspaces)
+	offered, served := make([]int, workspaces), make([]int, workspaces)
 	var ends []time.Time
 	waiting := map[*Waiter]int{}
 	rng := rand.New(rand.NewPCG(1, 1))
 	start := func(i int) {
 		served[i]++
-		ends = append(ends, at.Add(took))
+		ends = append(ends, at.Add(serviceTime))
 	}
-	for began := at; at.Sub(began) < length; at = at.Add(tick) {
+	for startedAt := at; at.Sub(startedAt) < duration; at = at.Add(tick) {
 		for len(ends) > 0 && !ends[0].After(at) {
 			ends = ends[1:]
-			g.Release(took)
+			g.Release(serviceTime)
 		}
 		for w, i := range waiting {
 			select {
@@ -55,9 +56,9 @@
 			if rng.Float64() > rate*tick.Seconds() {
 				continue
 			}
-			asked[i]++
+			offered[i]++
 			a := Ask{Urgency: config.Normal, Deadline: at.Add(2 * time.Second), Objective: at.Add(time.Second)}
-			if flows {
+			if withFlows {
 				a.Flow = fmt.Sprint("ws", i)
 			}
 			w, reason, _ := g.Enter(a)
@@ -70,12 +71,12 @@
 		}
 	}
 	for i := range workspaces {
-		part = append(part, float64(served[i])/float64(asked[i]))
+		servedFractions = append(servedFractions, float64(served[i])/float64(offered[i]))
 	}
-	return part
+	return servedFractions
 }
 
-// jain is Jain's index of fairness: 1 where all are alike.
+// jain is Jain's fairness index: 1 if all values are equal.
 func jain(x []float64) float64 {
 	var sum, squares float64
 	for _, v := range x {
@@ -85,26 +86,28 @@
 	return sum * sum / (float64(len(x)) * squares)
 }
 
-// TestOneWorkspaceDoesNotStarveOthers demands that those who ask for less than their even
-// share are served, whatever one of them asks for, and that no slot stands empty for it.
+// TestOneWorkspaceDoesNotStarveOthers checks that workspaces which offer less than their
+// even share are served, however many calls another one offers, and that the slots they
+// leave free are used.
 func TestOneWorkspaceDoesNotStarveOthers(t *testing.T) {
 	is := is.New(t)
-	fair, first := playFlows(true), playFlows(false)
-	t.Logf("in turn %.2f, by arrival %.2f; Jain's index of those within their share %.3f and %.3f", fair, first, jain(fair[1:]), jain(first[1:]))
-	for _, part := range fair[1:] {
+	byFlow, byArrival := simulateFlows(true), simulateFlows(false)
+	t.Logf("served fractions by flow %.2f, by arrival %.2f; Jain's index of the workspaces within their share %.3f and %.3f", byFlow, byArrival, jain(byFlow[1:]), jain(byArrival[1:]))
+	for _, part := range byFlow[1:] {
 		is.True(part > 0.9)
 	}
 	least := 1.0
-	for _, part := range first[1:] {
+	for _, part := range byArrival[1:] {
 		least = min(least, part)
 	}
-	is.True(least < 0.95)      // it is the turns that do it
-	is.True(fair[0] > 0.4)     // what others leave is used
-	is.True(jain(fair) < 0.99) // the one that asks for too much pays
+	is.True(least < 0.95)        // without flows, others are starved
+	is.True(byFlow[0] > 0.4)     // slots that others leave free are used
+	is.True(jain(byFlow) < 0.99) // the workspace above its share is refused more
 }
 
-// TestFlowsOfThePastAreForgotten covers what a gate holds of 10,000 workspaces that came once.
-func TestFlowsOfThePastAreForgotten(t *testing.T) {
+// TestIdleFlowsAreEvicted bounds the memory of a gate that sees 10,000 workspaces once
+// each.
+func TestIdleFlowsAreEvicted(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	g := New(func() time.Time { return at }, 1, 4, at.Add(-time.Hour))
@@ -113,7 +116,7 @@
 	for i := range 10_000 {
 		g.Enter(Ask{Urgency: config.Normal, Flow: fmt.Sprint("ws", i), Deadline: at.Add(time.Hour)})
 		g.Release(time.Millisecond)
-		most = max(most, len(g.flows.next))
+		most = max(most, len(g.flows.nextStart))
 	}
-	is.True(most <= flowsMost)
+	is.True(most <= maxFlows)
 }
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -1,6 +1,6 @@
 // Package admission decides which attempts run at an upstream: as many at once as it has
-// slots, the next ones in the order of their urgency, and none that would only come
-// late. It carries nothing; the clock is handed in.
+// slots, the next ones in the order of their urgency, and none whose answer would come
+// too late. It does no I/O; the clock is passed in.
 package admission
 
 import (
@@ -13,50 +13,50 @@
 )
 
 const (
-	// serviceWeight is the weight of the newest attempt in the mean service
-	// time.
+	// serviceWeight is the weight of the newest attempt in the mean service time.
 	serviceWeight = 0.1
-	// firstService is the mean service time before the first measurement.
-	firstService = 10 * time.Millisecond
-	// AnswerMargin is how long before its deadline a waiting attempt is
-	// refused: the refusal must reach the caller's daemon before that gives up
-	// with an outcome it does not know. No attempt runs in so short a time.
+	// initialServiceTime is the mean service time before the first measurement.
+	initialServiceTime = 10 * time.Millisecond
+	// AnswerMargin is how long before its deadline a waiting attempt is refused: the
+	// refusal must reach the ingress before the ingress gives up and reports an unknown
+	// outcome. No attempt completes in so short a time.
 	AnswerMargin = 15 * time.Millisecond
 )
 
-// Gate admits attempts to one upstream: at most as many at once as it has
-// slots, and a short queue, in which nested calls of upstreams that are shorter of
-// slots go first, then the most urgent, then flows in turn, then the first to come: by
-// deadline, kinds of call with a short one would keep those of equal urgency with a long
-// one out for good. The rest is refused at once. Safe for concurrent use.
+// Gate admits attempts to one upstream: at most as many at once as it has slots, plus a
+// short queue. In the queue, nested calls whose parent upstream is shorter of slots than
+// this one go first, then the more urgent attempts, then flows take turns, then the first
+// to arrive. The queue is not ordered by deadline: calls with short deadlines would then
+// starve calls of equal urgency with long ones. All other attempts are refused at once.
+// Safe for concurrent use.
 type Gate struct {
 	mu       sync.Mutex
 	now      func() time.Time
 	slots    int
 	maxQueue int
-	// since and ramp make a cold upstream start with few slots.
-	since    time.Time
-	ramp     time.Duration
-	inFlight int
-	queue    waiters
-	turns    uint64
-	flows    flows
-	service  time.Duration
-	measured bool
-	closed   outcome.Reason
-	// direct counts the decisions on calls that are not nested.
-	direct tally
-	// lost are the attempts in flight that hold no slot at the upstream any more.
+	// readySince and ramp limit the slots of an upstream that has just started.
+	readySince      time.Time
+	ramp            time.Duration
+	inFlight        int
+	queue           waiters
+	arrivals        uint64
+	flows           flows
+	meanService     time.Duration
+	serviceMeasured bool
+	closed          outcome.Reason
+	// direct is the served fraction of the calls that are not nested.
+	direct servedAverage
+	// lost estimates the attempts in flight that no longer hold a slot at the upstream.
 	lost lostAnswers
 }
 
-// New returns the gate of an upstream that is there since then, with so many slots and
-// places in its queue.
+// New returns the gate of an upstream that has been ready since the given time, with that
+// many slots and places in its queue.
 func New(now func() time.Time, slots, maxQueue int, since time.Time) *Gate {
-	return &Gate{now: now, slots: slots, maxQueue: maxQueue, since: since, service: firstService}
+	return &Gate{now: now, slots: slots, maxQueue: maxQueue, readySince: since, meanService: initialServiceTime}
 }
 
-// Resize takes new settings for the upstream.
+// Resize applies new settings of the upstream.
 func (g *Gate) Resize(slots int, ramp time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -65,7 +65,7 @@
 	g.admitWaiting()
 }
 
-// Close refuses all waiting and all further attempts with this reason.
+// Close refuses all waiting and all further attempts for the given reason.
 func (g *Gate) Close(reason outcome.Reason) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -75,40 +75,41 @@
 	}
 }
 
-// Open takes a close back.
+// Open undoes Close.
 func (g *Gate) Open() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = ""
 }
 
-// limit returns how many attempts may be in flight now. Those that are lost there
-// make room for others.
+// limit returns how many attempts may be in flight now. Each attempt in flight that is
+// estimated to be lost at the upstream makes room for another.
 func (g *Gate) limit() int {
-	return g.openSlots() + min(g.lost.count(g.now()), lostMost*g.slots)
+	return g.rampedSlots() + min(g.lost.count(g.now()), maxLostFactor*g.slots)
 }
 
-// openSlots returns how many attempts the upstream may run now.
-func (g *Gate) openSlots() int {
-	age := g.now().Sub(g.since)
+// rampedSlots returns how many attempts the upstream may run now, given how long it has
+// been ready.
+func (g *Gate) rampedSlots() int {
+	age := g.now().Sub(g.readySince)
 	if g.ramp <= 0 || age >= g.ramp {
 		return g.slots
 	}
 	return max(1, int(float64(g.slots)*float64(age)/float64(g.ramp)))
 }
 
-// Acquire waits for a slot. An empty reason means that the attempt has one
-// and must release it; else it was refused and must not run.
+// Acquire waits for a slot. An empty reason means that the attempt has one and must
+// release it; otherwise it was refused and must not run.
 func (g *Gate) Acquire(ctx context.Context, a Ask) (outcome.Reason, time.Duration) {
 	w, reason, after := g.Enter(a)
 	if w == nil {
 		return reason, after
 	}
-	last := time.NewTimer(a.Deadline.Sub(g.now()) - AnswerMargin)
-	defer last.Stop()
+	refuseTimer := time.NewTimer(a.Deadline.Sub(g.now()) - AnswerMargin)
+	defer refuseTimer.Stop()
 	select {
 	case <-w.decided:
-	case <-last.C:
+	case <-refuseTimer.C:
 		g.Quit(w, outcome.ReasonDeadline)
 	case <-ctx.Done():
 		g.Quit(w, outcome.CancelReason(ctx))
@@ -120,8 +121,7 @@
 	return w.refused, g.RetryAfter()
 }
 
-// Enter admits, queues or refuses an attempt. The waiter is nil if the
-// decision is final.
+// Enter admits, queues or refuses an attempt. The waiter is nil if the decision is final.
 func (g *Gate) Enter(a Ask) (*Waiter, outcome.Reason, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -130,48 +130,49 @@
 	}
 	if g.inFlight < g.limit() && len(g.queue) == 0 {
 		g.inFlight++
-		g.noteDirect(a, true)
+		g.recordDirect(a, true)
 		return nil, "", 0
 	}
-	g.turns++
-	w := g.waiter(a)
-	if !g.hasRoom(w) {
-		g.noteDirect(a, false)
+	g.arrivals++
+	w := g.newWaiter(a)
+	if !g.mayQueue(w) {
+		g.recordDirect(a, false)
 		return nil, outcome.ReasonOverload, g.retryAfter()
 	}
 	if len(g.queue) >= g.maxQueue {
 		g.refuseWaiter(g.queue.last(), outcome.ReasonOverload)
 		w.start = g.flows.start(w.Flow)
 	}
-	g.flows.wait(w.Flow, w.start)
+	g.flows.enqueue(w.Flow, w.start)
 	heap.Push(&g.queue, w)
 	return w, "", 0
 }
 
-// waiter ranks an attempt.
-func (g *Gate) waiter(a Ask) *Waiter {
+// newWaiter returns a waiter for an attempt, with its rank.
+func (g *Gate) newWaiter(a Ask) *Waiter {
 	return &Waiter{
-		Ask: a, rank: rank{urgency: a.Urgency, ahead: g.isAhead(a)}, start: g.flows.start(a.Flow), turn: g.turns, decided: make(chan struct{}),
+		Ask: a, rank: rank{urgency: a.Urgency, priority: g.hasPriority(a)}, start: g.flows.start(a.Flow), arrival: g.arrivals, decided: make(chan struct{}),
 	}
 }
 
-// shortOfSlots is the part of the calls to an upstream, served lately, below which
-// it is short of slots: above it, few are refused and nothing is won by an order.
-const shortOfSlots = 0.97
+// shortageThreshold is the recently served fraction of an upstream's calls below which it
+// is short of slots: above it, few calls are refused and their order makes no difference.
+const shortageThreshold = 0.97
 
-// isAhead reports whether a nested call goes before all that are not, whatever
-// their urgency: if its parent's upstream is short of slots, and shorter than this
-// one. The run that is lost with the call then costs others a place up there, where
-// there are fewer; else it costs them one here, and takes it from calls that may be more
+// hasPriority reports whether a nested call goes before all calls that are not nested,
+// whatever their urgency: if its parent's upstream is short of slots, and shorter of them
+// than this one. If the nested call is refused, its parent's run is wasted, and with it a
+// slot at the parent's upstream. Where slots are scarcer there, that costs more than a
+// slot here; otherwise priority would only take a slot here from calls that may be more
 // urgent.
-func (g *Gate) isAhead(a Ask) bool {
-	return a.Nested && a.ParentServed < shortOfSlots && a.ParentServed < g.direct.share(g.now())
+func (g *Gate) hasPriority(a Ask) bool {
+	return a.Nested && a.ParentServed < shortageThreshold && a.ParentServed < g.direct.fraction(g.now())
 }
 
-// hasRoom reports whether an attempt may wait: it would be admitted in time,
-// and there is a place, or one that ranks lower to give up its own.
-func (g *Gate) hasRoom(w *Waiter) bool {
-	if g.wait(w) > g.patience(w.Ask) {
+// mayQueue reports whether an attempt may wait: it would be admitted in time, and there
+// is a place in the queue, or a waiter of lower rank that can be displaced.
+func (g *Gate) mayQueue(w *Waiter) bool {
+	if g.expectedWait(w) > g.maxWait(w.Ask) {
 		return false
 	}
 	if len(g.queue) < g.maxQueue {
@@ -181,39 +182,39 @@
 	return last != nil && w.before(last)
 }
 
-// shortQueue is the wait that is worth it even where the answer then comes late,
-// as a part of the service time: without any queue slots would stand empty
-// between one attempt and the next.
-const shortQueue = 0.25
+// minWaitFraction is the wait that is always allowed, as a fraction of the service time,
+// even if the answer then comes late: without any queue, slots would be idle between one
+// attempt and the next.
+const minWaitFraction = 0.25
 
-// waitShare is the part of the time left for waiting that the expected wait may
-// take: under overload the queue is always as long as allowed, and real waits lie
-// to both sides of the expected one.
-const waitShare = 0.6
+// maxWaitFraction is the fraction of the time left for waiting that the expected wait may
+// take: under overload the queue is always as long as allowed, and actual waits vary to
+// both sides of the expected one.
+const maxWaitFraction = 0.6
 
-// patience returns how long an attempt may wait for a slot: as long as its
-// answer can come within its objective. A longer queue passes no more calls, it
-// only makes all of them late.
+// maxWait returns how long an attempt may wait for a slot: as long as its answer can
+// still come within its objective. A longer queue would not serve more calls but make all
+// of them late.
 //
-// Nested calls that have no claim to go first wait for the part of it that their lot
-// says. A run that makes several calls fails if one of them is refused, and what the
-// others took is wasted; with one lot for all of them they are refused together or not
-// at all.
-func (g *Gate) patience(a Ask) time.Duration {
+// Nested calls without priority may wait for the fraction of that time that their Lot
+// says. A run that makes several calls fails if one of them is refused, and the work of
+// the others is wasted; with one lot for all of them they are refused together or not at
+// all.
+func (g *Gate) maxWait(a Ask) time.Duration {
 	now := g.now()
-	most := a.Deadline.Sub(now)
+	untilDeadline := a.Deadline.Sub(now)
 	if a.Objective.IsZero() {
-		return most
+		return untilDeadline
 	}
-	inTime := max(waitShare*float64(a.Objective.Sub(now)-g.service), shortQueue*float64(g.service))
-	if a.Nested && !g.isAhead(a) {
-		inTime *= a.Lot
+	allowed := max(maxWaitFraction*float64(a.Objective.Sub(now)-g.meanService), minWaitFraction*float64(g.meanService))
+	if a.Nested && !g.hasPriority(a) {
+		allowed *= a.Lot
 	}
-	return min(most, time.Duration(inTime))
+	return min(untilDeadline, time.Duration(allowed))
 }
 
-// Check says why an attempt would be refused if it came now. An empty reason:
-// it would be admitted, or wait.
+// Check returns the reason for which an attempt would be refused if it arrived now. An
+// empty reason means that it would be admitted, or wait.
 func (g *Gate) Check(a Ask) (outcome.Reason, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -222,55 +223,55 @@
 		return g.closed, g.retryAfter()
 	case g.inFlight < g.limit():
 		return "", 0
-	case !g.hasRoom(g.waiter(a)):
+	case !g.mayQueue(g.newWaiter(a)):
 		return outcome.ReasonOverload, g.retryAfter()
 	}
 	return "", 0
 }
 
-// wait estimates how long an attempt would wait for a slot.
-func (g *Gate) wait(w *Waiter) time.Duration {
+// expectedWait estimates how long an attempt would wait for a slot.
+func (g *Gate) expectedWait(w *Waiter) time.Duration {
 	ahead := 1
 	for _, q := range g.queue {
 		if q.before(w) {
 			ahead++
 		}
 	}
-	return g.service * time.Duration(ahead) / time.Duration(max(1, g.limit()))
+	return g.meanService * time.Duration(ahead) / time.Duration(max(1, g.limit()))
 }
 
-// RetryAfter is when the queue that is there now will have been worked off.
+// RetryAfter is the time until the attempts that are queued now will have been admitted.
 func (g *Gate) RetryAfter() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.retryAfter()
 }
 
-// retryAfter is RetryAfter for those who hold the mutex.
+// retryAfter is RetryAfter for callers that hold the mutex.
 func (g *Gate) retryAfter() time.Duration {
-	wait := g.service * time.Duration(len(g.queue)+1) / time.Duration(max(1, g.limit()))
+	wait := g.meanService * time.Duration(len(g.queue)+1) / time.Duration(max(1, g.limit()))
 	return min(max(wait, outcome.MinRetryAfter), outcome.MaxRetryAfter)
 }
 
-// Release returns a slot after the attempt took this long, and admits the
-// next. Zero: the attempt says nothing about the service time.
+// Release returns a slot after the attempt ran for the given time, and admits the next
+// one. If took is zero, the attempt does not count in the mean service time.
 func (g *Gate) Release(took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inFlight--
 	if took > 0 {
-		g.service = g.blend(took)
-		g.measured = true
+		g.meanService = g.updatedMeanService(took)
+		g.serviceMeasured = true
 	}
 	g.admitWaiting()
 }
 
-// blend returns the mean service time with one more measurement.
-func (g *Gate) blend(took time.Duration) time.Duration {
-	if !g.measured {
+// updatedMeanService returns the mean service time with one more measurement.
+func (g *Gate) updatedMeanService(took time.Duration) time.Duration {
+	if !g.serviceMeasured {
 		return took
 	}
-	return g.service + time.Duration(serviceWeight*float64(took-g.service))
+	return g.meanService + time.Duration(serviceWeight*float64(took-g.meanService))
 }
 
 func (g *Gate) admitWaiting() {
@@ -282,14 +283,14 @@
 			continue
 		}
 		heap.Remove(&g.queue, w.index)
-		g.flows.serve(w.start)
+		g.flows.dequeue(w.start)
 		g.inFlight++
-		g.noteDirect(w.Ask, true)
+		g.recordDirect(w.Ask, true)
 		close(w.decided)
 	}
 }
 
-// Quit refuses a waiter that gave up, unless it was decided meanwhile.
+// Quit refuses a waiter that gave up, unless it has been decided in the meantime.
 func (g *Gate) Quit(w *Waiter, reason outcome.Reason) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -302,51 +303,51 @@
 
 func (g *Gate) refuseWaiter(w *Waiter, reason outcome.Reason) {
 	heap.Remove(&g.queue, w.index)
-	g.flows.quit(w.Flow, w.start)
+	g.flows.withdraw(w.Flow, w.start)
 	if reason != outcome.ReasonCancelled {
-		g.noteDirect(w.Ask, false)
+		g.recordDirect(w.Ask, false)
 	}
 	w.refused = reason
 	close(w.decided)
 }
 
-// Load returns what callers of this upstream should know.
+// Load returns the upstream's load, as reported to the daemons that send calls to it.
 func (g *Gate) Load() outcome.Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return outcome.Load{InFlight: g.inFlight, Queued: len(g.queue), Slots: g.limit(), Service: g.service}
+	return outcome.Load{InFlight: g.inFlight, Queued: len(g.queue), Slots: g.limit(), Service: g.meanService}
 }
 
-// Report takes in how many attempts the upstream says it has, on an answer that still
-// counts as in flight.
-func (g *Gate) Report(has int) {
+// Report records how many attempts the upstream says it is running. It is called for an
+// answer whose attempt still counts as in flight.
+func (g *Gate) Report(running int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.lost.note(g.now(), g.inFlight-1-has)
+	g.lost.record(g.now(), g.inFlight-1-running)
 	g.admitWaiting()
 }
 
-// noteDirect counts a decision on a call, unless it is nested: whether those are
-// Served follows from their rank.
-func (g *Gate) noteDirect(a Ask, admitted bool) {
+// recordDirect counts a decision on a call that is not nested. Nested calls do not count,
+// since whether they are served follows from their rank.
+func (g *Gate) recordDirect(a Ask, admitted bool) {
 	if !a.Nested {
-		g.direct.note(g.now(), admitted)
+		g.direct.record(g.now(), admitted)
 	}
 }
 
-// Served returns the part served lately of direct calls.
+// Served returns the recently served fraction of the calls that are not nested.
 func (g *Gate) Served() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.direct.share(g.now())
+	return g.direct.fraction(g.now())
 }
 
-// LoadAfter returns the load with a measurement that has not been released
-// yet: the answer that carries it must not say less than it shows.
+// LoadAfter returns the load including the service time of an attempt that is not
+// released yet, so that the answer which carries the load reflects its own attempt.
 func (g *Gate) LoadAfter(took time.Duration) outcome.Load {
 	l := g.Load()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	l.Service = g.blend(took)
+	l.Service = g.updatedMeanService(took)
 	return l
 }
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -12,24 +12,23 @@
 	"github.com/comfreygate/comfreygate/internal/outcome"
 )
 
-// TestSteadyOverloadMakesFewLate offers an upstream with 18 slots over twice as
-// much as it can take for a minute: calls of 600 ms, more or less, with an
-// objective of a second. Those that are served must not wait so long that an
-// ordinary one of them comes late, and the slots are to stay full. Grounds: the
-// busiest days of the larger deployments, where a queue as long as the slots made
-// 19,891 of 26,002 answers late.
-func TestSteadyOverloadMakesFewLate(t *testing.T) {
+// TestSteadyOverloadYieldsFewLateAnswers offers an upstream with 18 slots more than twice
+// the load that it can serve for a minute: calls of about 600 ms with an objective of a
+// second. Calls that are served must not have waited so long that a call of average
+// length comes late, and the slots must stay busy. On the busiest days of the larger
+// deployments, a queue as long as the number of slots made 19,891 of 26,002 answers late.
+func TestSteadyOverloadYieldsFewLateAnswers(t *testing.T) {
 	const service, objective = 600 * time.Millisecond, time.Second
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(3, 3))
 	at := time.Unix(1000, 0)
 	g := New(func() time.Time { return at }, 18, 18, time.Time{})
-	g.Release(service) // has been measured
+	g.Release(service) // sets the measured service time
 	g.inFlight = 0
 	type call struct {
 		*Waiter
-		came, started time.Time
-		took          time.Duration
+		arrived, started time.Time
+		took             time.Duration
 	}
 	var queue, running []call
 	served, late, refused, idle := 0, 0, 0, 0
@@ -38,7 +37,7 @@
 		c.took = time.Duration((0.5 + 0.5*rng.ExpFloat64()) * float64(service))
 		running = append(running, c)
 		served++
-		if at.Sub(c.came)+service > objective {
+		if at.Sub(c.arrived)+service > objective {
 			late++
 		}
 	}
@@ -55,7 +54,7 @@
 			start(queue[0])
 			queue = queue[1:]
 		}
-		if ms%20 == 0 || ms%60 == 10 || ms%60 == 30 { // 83 a second, of 30 that fit
+		if ms%20 == 0 || ms%60 == 10 || ms%60 == 30 { // 83 per second; the slots serve 30
 			w, reason, _ := g.Enter(Ask{
 				Urgency: config.Normal, Deadline: at.Add(6 * time.Second), Objective: at.Add(objective),
 			})
@@ -63,18 +62,18 @@
 			case reason != "":
 				refused++
 			case w == nil:
-				start(call{came: at})
+				start(call{arrived: at})
 			default:
-				queue = append(queue, call{Waiter: w, came: at})
+				queue = append(queue, call{Waiter: w, arrived: at})
 			}
 		}
 		if ms > 1000 && len(running) < 18 {
 			idle++
 		}
 	}
-	t.Logf("served %d, %d late, refused %d, %d ms with an empty slot", served, late, refused, idle)
+	t.Logf("served %d, %d late, refused %d, %d ms with an idle slot", served, late, refused, idle)
 	is.True(late*5 < served)
-	is.True(served > 1700) // 30 a second for a minute: 1,800
+	is.True(served > 1700) // 30 per second for a minute: 1,800
 	is.True(refused > 0)
 }
 
@@ -87,9 +86,9 @@
 	}
 }
 
-// TestLateCallsStillFindAShortQueue: a call that has missed its objective is
-// worth less, not nothing.
-func TestLateCallsStillFindAShortQueue(t *testing.T) {
+// TestCallsPastTheirObjectiveMayQueueBriefly checks that a call which has missed its
+// objective may still wait in a short queue: its answer is worth less, but not nothing.
+func TestCallsPastTheirObjectiveMayQueueBriefly(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	g := New(func() time.Time { return at }, 8, 8, time.Time{})
--- a/internal/admission/lost.go
+++ b/internal/admission/lost.go
@@ -6,38 +6,38 @@
 )
 
 const (
-	// lostReports is how many answers in a row must say that the upstream has fewer
-	// attempts than were sent to it: one that is on its way is not lost.
-	lostReports = 4
-	// lostFresh is how long what they said is believed.
-	lostFresh = time.Second
-	// lostMost bounds what is believed, as a multiple of the slots: an upstream
-	// that misleads gets no more than it takes into its own queue.
-	lostMost = 2
+	// lostReportCount is how many consecutive answers must report that the upstream runs
+	// fewer attempts than are in flight to it: one that is still on its way is not lost.
+	lostReportCount = 4
+	// lostReportMaxAge is how long these reports are valid.
+	lostReportMaxAge = time.Second
+	// maxLostFactor bounds the estimate as a multiple of the slots: an upstream that
+	// reports wrong counts gets no more attempts than it takes into its own queue.
+	maxLostFactor = 2
 )
 
-// lostAnswers estimates how many attempts in flight the upstream is done with, though
-// their answers never came: connections that went silent. Each would else keep its
-// slot until its deadline, and the upstream would stand half idle. A gate's mutex guards
-// it.
+// lostAnswers estimates how many attempts in flight the upstream has finished although
+// their answers never arrived, as on connections that fail silently. Without it, each
+// would hold its slot until its deadline, and the upstream would be half idle. Guarded by
+// the mutex of the owning Gate.
 type lostAnswers struct {
-	reports [lostReports]int
-	next    int
-	at      time.Time
+	reports      [lostReportCount]int
+	next         int
+	lastReportAt time.Time
 }
 
-// note takes in by how much the attempts in flight exceed those that the upstream
-// says it has.
-func (l *lostAnswers) note(now time.Time, excess int) {
+// record adds a report: excess is the number of attempts in flight minus those that the
+// upstream says it is running.
+func (l *lostAnswers) record(now time.Time, excess int) {
 	l.reports[l.next] = excess
-	l.next = (l.next + 1) % lostReports
-	l.at = now
+	l.next = (l.next + 1) % lostReportCount
+	l.lastReportAt = now
 }
 
-// count returns how many attempts hold no slot at the upstream: no more than any of
-// the last reports said.
+// count returns how many attempts in flight hold no slot at the upstream: the lowest
+// number in the last reports.
 func (l *lostAnswers) count(now time.Time) int {
-	if now.Sub(l.at) >= lostFresh {
+	if now.Sub(l.lastReportAt) >= lostReportMaxAge {
 		return 0
 	}
 	return max(0, slices.Min(l.reports[:]))
--- a/internal/admission/lost_test.go
+++ b/internal/admission/lost_test.go
@@ -10,18 +10,19 @@
 	"github.com/comfreygate/comfreygate/internal/outcome"
 )
 
-// lossy plays an upstream of 11 slots, runs of 78 ms and a deadline of a second, that
-// loses each sixth answer in silence, in virtual time. Grounds: orders of a second on
-// four upstreams that lost their answers, whose owners refused others with all slots
-// in flight. It returns how many of 100 calls a second were admitted, for 10 s, and
-// the most that the upstream ran at once.
-func lossy(reports bool) (admitted, most int) {
+// simulateLostAnswers simulates, in virtual time, an upstream with 11 slots and a service
+// time of 78 ms that silently loses every sixth answer. For 10 s it is offered 100 calls
+// per second, each with a deadline of a second. It returns how many were admitted, and
+// the most that the upstream ran at once. The failure was seen with orders with a
+// deadline of a second on four upstreams that lost their answers: their owners refused
+// other calls while all slots were counted as in flight.
+func simulateLostAnswers(reports bool) (admitted, maxRunning int) {
 	const slots, service, deadline = 11, 78, 1000
 	at := time.Unix(1000, 0)
 	g := New(func() time.Time { return at }, slots, slots, time.Time{})
 	running := 0
-	ends := map[int][]bool{} // by millisecond, whether each run's answer is lost
-	gone := map[int]int{}    // by millisecond, how many calls reach their deadline
+	ends := map[int][]bool{} // by millisecond: for each run, whether its answer is lost
+	expired := map[int]int{} // by millisecond, how many calls reach their deadline
 	for ms := range 10_000 {
 		at = at.Add(time.Millisecond)
 		for _, lost := range ends[ms] {
@@ -34,7 +35,7 @@
 			}
 			g.Release(service * time.Millisecond)
 		}
-		for range gone[ms] {
+		for range expired[ms] {
 			g.Release(0)
 		}
 		if ms%10 != 0 {
@@ -43,45 +44,47 @@
 		w, reason, _ := g.Enter(Ask{Urgency: config.Normal, Objective: at, Deadline: at.Add(deadline * time.Millisecond)})
 		if reason != "" || w != nil {
 			if w != nil {
-				g.Quit(w, outcome.ReasonCancelled) // whoever would wait is not counted
+				g.Quit(w, outcome.ReasonCancelled) // attempts that would wait are not counted
 			}
 			continue
 		}
 		lost := admitted%6 == 0
 		admitted++
 		running++
-		most = max(most, running)
+		maxRunning = max(maxRunning, running)
 		ends[ms+service] = append(ends[ms+service], lost)
 		if lost {
-			gone[ms+deadline]++
+			expired[ms+deadline]++
 		}
 	}
-	return admitted, most
+	return admitted, maxRunning
 }
 
-// TestLostAnswersHoldNoSlot: the upstream says that it runs less than was sent to it.
+// TestLostAnswersHoldNoSlot checks that lost answers do not occupy slots if the upstream
+// reports that it runs fewer attempts than are in flight to it.
 func TestLostAnswersHoldNoSlot(t *testing.T) {
 	is := is.New(t)
-	silent, _ := lossy(false)
-	told, most := lossy(true)
-	t.Logf("of 1,000 calls admitted at once: %d, and %d where the upstream's own count is heard, %d at once", silent, told, most)
-	is.True(silent < 700)
-	is.True(told > 900)
-	is.True(most <= 11)
+	withoutReports, _ := simulateLostAnswers(false)
+	withReports, maxRunning := simulateLostAnswers(true)
+	t.Logf("of 1,000 calls admitted at once: %d, and %d with the upstream's reports, which ran at most %d at once", withoutReports, withReports, maxRunning)
+	is.True(withoutReports < 700)
+	is.True(withReports > 900)
+	is.True(maxRunning <= 11)
 }
 
-// TestOneReportLosesNothing: a request that is on its way to the upstream, or a
-// Report that is older than it, is no lost answer; nor are reports of long ago.
-func TestOneReportLosesNothing(t *testing.T) {
+// TestSingleReportIsNotTakenAsLostAnswers checks that neither a request on its way to the
+// upstream, nor a report older than the request, nor an expired report counts as a lost
+// answer.
+func TestSingleReportIsNotTakenAsLostAnswers(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	var l lostAnswers
 	for _, excess := range []int{5, 5, 0, 5, 5} {
-		l.note(at, excess)
+		l.record(at, excess)
 		is.Equal(l.count(at), 0)
 	}
-	l.note(at, 3)
-	l.note(at, 4)
+	l.record(at, 3)
+	l.record(at, 4)
 	is.Equal(l.count(at), 3)
-	is.Equal(l.count(at.Add(lostFresh)), 0)
+	is.Equal(l.count(at.Add(lostReportMaxAge)), 0)
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -10,32 +10,32 @@
 // rank orders attempts that wait for the same upstream.
 type rank struct {
 	urgency config.Urgency
-	// ahead is set for nested calls of upstreams that are shorter of slots.
-	ahead bool
+	// priority is set for nested calls whose parent upstream is shorter of slots.
+	priority bool
 }
 
-// Ask is what an attempt wants of a gate.
+// Ask describes an attempt that requests a slot from a Gate.
 type Ask struct {
 	Urgency config.Urgency
-	// Flow names whose turn the attempt takes: attempts of one flow wait for each other, and
-	// flows of equal urgency take turns.
+	// Flow names the flow that the attempt belongs to: the attempts of one flow wait for
+	// each other, and flows of equal urgency take turns.
 	Flow   string
 	Nested bool
-	// ParentServed is the part of the direct calls to the upstream that makes a nested
-	// call that was served there lately.
+	// ParentServed is the recently served fraction of the direct calls at the upstream
+	// that makes a nested call.
 	ParentServed float64
 	// Lot is a number from 0 to 1 that all nested calls of one caller's request share.
 	Lot      float64
 	Deadline time.Time
-	// Objective is when its answer should be there, or zero if that matters
-	// no more than the deadline.
+	// Objective is the time by which the answer should arrive, or zero if only the
+	// deadline matters.
 	Objective time.Time
 }
 
-// above reports whether r goes before o, whoever came first.
-func (r rank) above(o rank) bool {
-	if r.ahead != o.ahead {
-		return r.ahead
+// outranks reports whether r goes before o regardless of the order of arrival.
+func (r rank) outranks(o rank) bool {
+	if r.priority != o.priority {
+		return r.priority
 	}
 	return r.urgency > o.urgency
 }
@@ -44,31 +44,33 @@
 type Waiter struct {
 	Ask
 	rank
-	// start is the attempt's place among those of all flows, turn that among all arrivals.
+	// start is the attempt's start tag among all flows, arrival its number among all
+	// arrivals.
 	start   uint64
-	turn    uint64
+	arrival uint64
 	decided chan struct{}
 	refused outcome.Reason
 	index   int
 }
 
-// Decided is closed once the attempt was admitted or refused.
+// Decided returns a channel that is closed once the attempt was admitted or refused.
 func (w *Waiter) Decided() <-chan struct{} { return w.decided }
 
-// Refused says why a decided attempt was refused; "": it has a slot.
+// Refused returns the reason for which a decided attempt was refused; empty: it has a
+// slot.
 func (w *Waiter) Refused() outcome.Reason { return w.refused }
 
 // waiters is a heap of waiters, the next to be admitted first.
 type waiters []*Waiter
 
 func (w *Waiter) before(o *Waiter) bool {
-	if w.above(o.rank) || o.above(w.rank) {
-		return w.above(o.rank)
+	if w.outranks(o.rank) || o.outranks(w.rank) {
+		return w.outranks(o.rank)
 	}
 	if w.start != o.start {
 		return w.start < o.start
 	}
-	return w.turn < o.turn
+	return w.arrival < o.arrival
 }
 
 // last returns the waiter that would be admitted last, or nil.
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -11,41 +11,42 @@
 	"github.com/comfreygate/comfreygate/internal/outcome"
 )
 
-// TestEqualUrgencyIsServedAlike offers one upstream twice what it can run, in
-// two kinds of equal Urgency: one in three has a deadline of 2.5 s, the others
-// of 250 ms. Each kind must get its part of the slots.
-func TestEqualUrgencyIsServedAlike(t *testing.T) {
+// TestEqualUrgencyIsServedEvenlyWhateverTheDeadline offers one upstream twice the load
+// that it can run, in two kinds of calls of equal urgency: one third with a deadline of
+// 2.5 s, the others of 250 ms. Ordering by deadline would starve the calls with the long
+// one; each kind must get its share of the slots.
+func TestEqualUrgencyIsServedEvenlyWhateverTheDeadline(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	g := New(func() time.Time { return at }, 4, 4, time.Time{})
 	var running []chan struct{}
 	served := map[time.Duration]int{}
 	for i := range 300 {
-		patience := 250 * time.Millisecond
+		timeLeft := 250 * time.Millisecond
 		if i%3 == 0 {
-			patience = 2500 * time.Millisecond
+			timeLeft = 2500 * time.Millisecond
 		}
-		w, reason, _ := g.Enter(Ask{Urgency: config.Normal, Deadline: at.Add(patience)})
+		w, reason, _ := g.Enter(Ask{Urgency: config.Normal, Deadline: at.Add(timeLeft)})
 		if reason == "" {
-			served[patience]++
+			served[timeLeft]++
 			if w != nil {
 				running = append(running, w.decided)
 			}
 		}
 		at = at.Add(time.Millisecond)
-		if i%2 == 1 { // half as many leave as come
+		if i%2 == 1 { // half as many finish as arrive
 			g.Release(10 * time.Millisecond)
 		}
 	}
 	long, short := float64(served[2500*time.Millisecond])/100, float64(served[250*time.Millisecond])/200
-	t.Logf("admitted: %.2f of the patient, %.2f of the others, %d waited", long, short, len(running))
+	t.Logf("admitted: %.2f of the calls with the long deadline, %.2f of the others, %d waited", long, short, len(running))
 	is.True(long > 0.8*short)
 	is.True(short > 0.8*long)
 }
 
-// TestWaitingAttemptIsRefusedInTime lets an attempt wait for a slot that is
-// never free. The refusal, which proves that it has not run, must come before
-// the ingress gives the attempt up as unknown.
+// TestWaitingAttemptIsRefusedInTime lets an attempt wait for a slot that never becomes
+// free. The refusal, which proves that the attempt has not run, must arrive before the
+// ingress gives up and reports an unknown outcome.
 func TestWaitingAttemptIsRefusedInTime(t *testing.T) {
 	is := is.New(t)
 	g := New(time.Now, 1, 4, time.Time{})
@@ -56,13 +57,13 @@
 	is.Equal(reason, outcome.Reason("")) // takes the only slot
 	reason, _ = g.Acquire(ctx, Ask{Urgency: config.Normal, Deadline: deadline})
 	is.Equal(reason, outcome.ReasonDeadline)
-	is.NoErr(ctx.Err()) // there is time left to say so
+	is.NoErr(ctx.Err()) // there is time left to send the refusal
 }
 
-// TestNestedCallsGoFirstWhereTheUpperServiceIsShorter fills a short queue. Nested
-// calls of an upstream that serves a smaller part of its calls displace direct ones,
-// however urgent those are; others take their turn by urgency, as direct calls do.
-func TestNestedCallsGoFirstWhereTheUpperServiceIsShorter(t *testing.T) {
+// TestNestedCallsGoFirstIfTheirParentServiceIsShorterOfSlots fills a short queue. Nested
+// calls of an upstream that serves a smaller fraction of its calls displace direct ones,
+// however urgent; other nested calls are ordered by urgency, as direct calls are.
+func TestNestedCallsGoFirstIfTheirParentServiceIsShorterOfSlots(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	g := New(func() time.Time { return at }, 1, 2, time.Time{})
@@ -83,7 +84,7 @@
 	is.True(refused(first))
 	second = enter(config.Background, true, 0.3) // displaces the urgent direct call
 	is.True(refused(urgent))
-	is.True(enter(config.MostUrgent, false, 0) == nil) // refused: those that wait go first
+	is.True(enter(config.MostUrgent, false, 0) == nil) // refused: the waiting calls have priority
 	third := enter(config.Critical, true, 0.3)
 	is.True(refused(second))
 	g.Release(time.Millisecond)
@@ -94,16 +95,16 @@
 	is.Equal(nested.refused, outcome.Reason(""))
 }
 
-// TestNestedCallsRankByUrgencyWhereThisServiceIsTheShorter: half of the direct calls
-// are refused here, and a fifth above.
-func TestNestedCallsRankByUrgencyWhereThisServiceIsTheShorter(t *testing.T) {
+// TestNestedCallsRankByUrgencyIfThisServiceIsShorterOfSlots checks the order where half
+// of the direct calls are refused at this upstream and a fifth at the parent's.
+func TestNestedCallsRankByUrgencyIfThisServiceIsShorterOfSlots(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	g := New(func() time.Time { return at }, 1, 2, time.Time{})
 	for i := range 100 {
-		g.direct.note(at, i%2 == 0)
+		g.direct.record(at, i%2 == 0)
 	}
-	is.True(!g.isAhead(Ask{Nested: true, ParentServed: 0.8}))
-	is.True(g.isAhead(Ask{Nested: true, ParentServed: 0.4}))
-	is.True(!g.isAhead(Ask{ParentServed: 0.4})) // not nested
+	is.True(!g.hasPriority(Ask{Nested: true, ParentServed: 0.8}))
+	is.True(g.hasPriority(Ask{Nested: true, ParentServed: 0.4}))
+	is.True(!g.hasPriority(Ask{ParentServed: 0.4})) // not nested
 }
--- a/internal/admission/share.go
+++ b/internal/admission/share.go
@@ -6,45 +6,46 @@
 )
 
 const (
-	// shareMemory is how long what was served and refused counts: dozens of calls
-	// at an upstream of ten slots, and short enough to follow a burst.
-	shareMemory = time.Second
-	// sharePrior is how many served calls stand in for those not seen yet.
-	sharePrior = 5
-	// forgiven is how many refusals within shareMemory are no shortage: a burst at
-	// a quiet upstream.
-	forgiven = 1
+	// servedDecayTime is the time constant with which counted calls decay: long enough
+	// for dozens of calls at an upstream of ten slots, and short enough to follow a
+	// burst.
+	servedDecayTime = time.Second
+	// priorServed is the number of served calls assumed before any were counted.
+	priorServed = 5
+	// toleratedRefusals is how many refusals within servedDecayTime do not count as a
+	// shortage: they come from a burst at an upstream with little load.
+	toleratedRefusals = 1
 )
 
-// tally counts calls asked and served, and forgets them. Its owner's mutex guards
-// it.
-type tally struct {
-	asked, served float64
-	at            time.Time
+// servedAverage counts offered and served calls, both decaying over time. Guarded by the
+// mutex of the owning Gate.
+type servedAverage struct {
+	offered, served float64
+	updatedAt       time.Time
 }
 
-// fade forgets what the time since the last call makes old.
-func (t *tally) fade(now time.Time) {
-	if since := now.Sub(t.at); since > 0 {
-		keep := math.Exp(-float64(since) / float64(shareMemory))
-		t.asked *= keep
-		t.served *= keep
+// decay reduces the counts by the time since the last update.
+func (t *servedAverage) decay(now time.Time) {
+	if elapsed := now.Sub(t.updatedAt); elapsed > 0 {
+		factor := math.Exp(-float64(elapsed) / float64(servedDecayTime))
+		t.offered *= factor
+		t.served *= factor
 	}
-	t.at = now
+	t.updatedAt = now
 }
 
-// note takes in a call that was served or refused.
-func (t *tally) note(now time.Time, served bool) {
-	t.fade(now)
-	t.asked++
+// record counts a call that was served or refused.
+func (t *servedAverage) record(now time.Time, served bool) {
+	t.decay(now)
+	t.offered++
 	if served {
 		t.served++
 	}
 }
 
-// share returns the part of the calls that was served lately.
-func (t *tally) share(now time.Time) float64 {
-	t.fade(now)
-	served := min(t.asked, t.served+forgiven)
-	return (served + sharePrior) / (t.asked + sharePrior)
+// fraction returns the recently served fraction of the calls.
+func (t *servedAverage) fraction(now time.Time) float64 {
+	t.decay(now)
+	served := min(t.offered, t.served+toleratedRefusals)
+	return (served + priorServed) / (t.offered + priorServed)
 }
--- a/internal/admission/share_test.go
+++ b/internal/admission/share_test.go
@@ -10,67 +10,67 @@
 	"github.com/comfreygate/comfreygate/internal/config"
 )
 
-// TestShareForgets: a refusal at a quiet upstream is no shortage, and one that was
-// short is not for long.
-func TestShareForgets(t *testing.T) {
+// TestServedFractionDecays checks that a single refusal at an upstream with little load
+// does not count as a shortage, and that a shortage is forgotten after a few decay times.
+func TestServedFractionDecays(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
-	var quiet, busy tally
-	quiet.note(at, false)
-	is.Equal(quiet.share(at), 1.0)
+	var quiet, busy servedAverage
+	quiet.record(at, false)
+	is.Equal(quiet.fraction(at), 1.0)
 	for i := range 100 {
-		busy.note(at, i%4 == 0)
+		busy.record(at, i%4 == 0)
 	}
-	is.True(busy.share(at) < 0.35)
-	is.True(busy.share(at.Add(5*shareMemory)) > shortOfSlots-0.1)
+	is.True(busy.fraction(at) < 0.35)
+	is.True(busy.fraction(at.Add(5*servedDecayTime)) > shortageThreshold-0.1)
 }
 
-// slotsHere is how many slots each upstream of a twoServices has.
-const slotsHere = 11
+// simulatedSlots is the number of slots of each upstream of twoServices.
+const simulatedSlots = 11
 
-// twoServices plays two upstreams of one service each, in virtual time. Requests of
-// 60 ms to the upper one make a call of 15 ms to the lower one and hold their slot
-// meanwhile; critical calls of 78 ms go to the lower one directly, in bursts. Grounds:
-// a day on which removals and a burst left the upper service three upstreams of five,
-// and the lower one was full for parts of a second.
+// twoServices simulates two upstreams of one service each, in virtual time. Requests of
+// 60 ms to the upper one make a nested call of 15 ms to the lower one and hold their slot
+// meanwhile; critical calls of 78 ms go to the lower one directly, in bursts. It follows
+// a day on which removals and a burst left the upper service three of five upstreams, and
+// the lower one was full for fractions of a second.
 type twoServices struct {
 	at           time.Time
 	upper, lower *Gate
-	// requests counts the upper requests that made their call. The lots of those in a
-	// row are spread evenly.
+	// requests counts the upper requests that made their nested call. The lots of
+	// consecutive requests are spread evenly.
 	requests int
-	// blind keeps the shortage above from the lower gate.
-	blind   bool
-	running []playedCall
-	waiting []playedCall
-	// served, failed and critical count the upper requests that were answered and
-	// that lost their call, and the direct calls that were served below.
+	// hideShortage hides the upper service's shortage from the lower gate.
+	hideShortage bool
+	running      []simulatedCall
+	waiting      []simulatedCall
+	// served counts the upper requests that were answered, failed those whose nested call
+	// was refused, and critical the direct calls that the lower service served.
 	served, failed, critical int
 }
 
-type playedCall struct {
+type simulatedCall struct {
 	*Waiter
 	gate *Gate
 	took time.Duration
 	ends time.Time
-	then func(ok bool)
+	done func(ok bool)
 }
 
-func newTwoServices(blind bool) *twoServices {
-	s := &twoServices{at: time.Unix(1000, 0), blind: blind}
+func newTwoServices(hideShortage bool) *twoServices {
+	s := &twoServices{at: time.Unix(1000, 0), hideShortage: hideShortage}
 	now := func() time.Time { return s.at }
-	s.upper = New(now, slotsHere, slotsHere, time.Time{})
-	s.lower = New(now, slotsHere, slotsHere, time.Time{})
+	s.upper = New(now, simulatedSlots, simulatedSlots, time.Time{})
+	s.lower = New(now, simulatedSlots, simulatedSlots, time.Time{})
 	return s
 }
 
-func (s *twoServices) call(c playedCall, a Ask, objective, deadline time.Duration) {
+func (s *twoServices) call(c simulatedCall, a Ask, objective, deadline time.Duration) {
 	a.Objective, a.Deadline = s.at.Add(objective), s.at.Add(deadline)
 	w, reason, _ := c.gate.Enter(a)
 	c.Waiter = w
 	switch {
 	case reason != "":
-		c.then(false)
+		c.done(false)
 	case w == nil:
 		s.start(c)
 	default:
@@ -78,15 +78,16 @@
 	}
 }
 
-func (s *twoServices) start(c playedCall) {
+func (s *twoServices) start(c simulatedCall) {
 	c.ends = s.at.Add(c.took)
 	s.running = append(s.running, c)
 }
 
-// request offers one to the upper service. Its slot is held until its call is over.
+// request offers a request to the upper service. Its slot is held until its nested call
+// ends.
 func (s *twoServices) request() {
-	c := playedCall{gate: s.upper, took: 60 * time.Millisecond}
-	c.then = func(ok bool) {
+	c := simulatedCall{gate: s.upper, took: 60 * time.Millisecond}
+	c.done = func(ok bool) {
 		if ok {
 			s.nested()
 		}
@@ -96,8 +97,8 @@
 
 func (s *twoServices) nested() {
 	began := s.at
-	c := playedCall{gate: s.lower, took: 15 * time.Millisecond}
-	c.then = func(ok bool) {
+	c := simulatedCall{gate: s.lower, took: 15 * time.Millisecond}
+	c.done = func(ok bool) {
 		if ok {
 			s.served++
 		} else {
@@ -105,19 +106,19 @@
 		}
 		s.upper.Release(60*time.Millisecond + s.at.Sub(began))
 	}
-	above := s.upper.Served()
-	if s.blind {
-		above = 1
+	parentServed := s.upper.Served()
+	if s.hideShortage {
+		parentServed = 1
 	}
 	s.requests++
 	_, lot := math.Modf(float64(s.requests) * math.Phi)
-	a := Ask{Urgency: config.Background, Nested: true, ParentServed: above, Lot: lot}
+	a := Ask{Urgency: config.Background, Nested: true, ParentServed: parentServed, Lot: lot}
 	s.call(c, a, 60*time.Millisecond, 200*time.Millisecond)
 }
 
 func (s *twoServices) direct() {
-	c := playedCall{gate: s.lower, took: 78 * time.Millisecond}
-	c.then = func(ok bool) {
+	c := simulatedCall{gate: s.lower, took: 78 * time.Millisecond}
+	c.done = func(ok bool) {
 		if ok {
 			s.critical++
 		}
@@ -137,7 +138,7 @@
 		if c.gate == s.lower {
 			s.lower.Release(c.took)
 		}
-		c.then(true)
+		c.done(true)
 	}
 	waiting := s.waiting
 	s.waiting = nil
@@ -146,17 +147,18 @@
 		case !isDecided(c.Waiter):
 			s.waiting = append(s.waiting, c)
 		case c.refused != "":
-			c.then(false)
+			c.done(false)
 		default:
 			s.start(c)
 		}
 	}
 }
 
-// play offers 250 requests a second above, of 140 that fit, and below on average so
-// many critical calls a second, of 100 that fit beside, three quarters of them in
-// the first half of each second.
-func (s *twoServices) play(seconds, critical int) {
+// run offers the upper service 250 requests per second, of which it can serve 140, and
+// the lower one on average the given number of critical calls per second, of which it can
+// serve 100 beside the nested ones. Three quarters of the critical calls arrive in the
+// first half of each second.
+func (s *twoServices) run(seconds, critical int) {
 	for ms := range seconds * 1000 {
 		s.tick()
 		if ms%4 == 0 {
@@ -172,32 +174,34 @@
 	}
 }
 
-// playBoth plays 30 s with so many critical calls a second, with the shortage above
-// kept from the lower gate and without.
-func playBoth(t *testing.T, critical int) (blind, told *twoServices) {
+// runBoth runs 30 s with the given number of critical calls per second, once with the
+// upper service's shortage hidden from the lower gate and once with it known there.
+func runBoth(t *testing.T, critical int) (hidden, known *twoServices) {
 	t.Helper()
-	blind, told = newTwoServices(true), newTwoServices(false)
-	blind.play(30, critical)
-	told.play(30, critical)
-	t.Logf("blind: %d served, %d failed, %d critical; told: %d, %d, %d",
-		blind.served, blind.failed, blind.critical, told.served, told.failed, told.critical)
-	return blind, told
+	hidden, known = newTwoServices(true), newTwoServices(false)
+	hidden.run(30, critical)
+	known.run(30, critical)
+	t.Logf("shortage hidden: %d served, %d failed, %d critical; known: %d, %d, %d",
+		hidden.served, hidden.failed, hidden.critical, known.served, known.failed, known.critical)
+	return hidden, known
 }
 
-// TestShortageAboveDecidesWhoGoesFirstBelow: telling the lower service that the upper
-// one is shorter lets fewer runs fail there, and serves more calls than it costs below.
-func TestShortageAboveDecidesWhoGoesFirstBelow(t *testing.T) {
+// TestParentShortageGivesNestedCallsPriority checks that a lower service which knows that
+// the upper one is shorter of slots lets fewer upper runs fail, and that this serves more
+// calls above than it costs below.
+func TestParentShortageGivesNestedCallsPriority(t *testing.T) {
 	is := is.New(t)
-	blind, told := playBoth(t, 100)
-	is.True(told.failed < blind.failed/4)
-	is.True(told.served-blind.served > 3*(blind.critical-told.critical))
-	is.True(told.critical > blind.critical*8/10)
+	hidden, known := runBoth(t, 100)
+	is.True(known.failed < hidden.failed/4)
+	is.True(known.served-hidden.served > 3*(hidden.critical-known.critical))
+	is.True(known.critical > hidden.critical*8/10)
 }
 
-// TestUrgentCallsKeepTheirPlaceWhereTheyAreShorter: with one upstream's worth of
-// slots for three times the critical calls, those above have no claim to go first.
-func TestUrgentCallsKeepTheirPlaceWhereTheyAreShorter(t *testing.T) {
+// TestUrgentCallsKeepTheirPlaceIfThisServiceIsShorterOfSlots offers the lower service
+// three times the critical calls that it has slots for: the nested calls must then get no
+// priority.
+func TestUrgentCallsKeepTheirPlaceIfThisServiceIsShorterOfSlots(t *testing.T) {
 	is := is.New(t)
-	blind, told := playBoth(t, 320)
-	is.True(told.critical > blind.critical*9/10)
+	hidden, known := runBoth(t, 320)
+	is.True(known.critical > hidden.critical*9/10)
 }
