--- a/internal/pick/partition.go
+++ b/internal/pick/partition.go
@@ -2,50 +2,54 @@
 
 import "github.com/comfreygate/comfreygate/internal/view"
 
-// partition holds the upstreams of a service by the way to them.
-type partition struct {
-	// of is the list that it was made of.
-	of   []view.Upstream
-	own  *view.Upstream
-	near []*view.Upstream
-	far  []*view.Upstream
+// localityGroups holds the upstreams of a service by their distance from this daemon.
+type localityGroups struct {
+	// upstreams is the list from which the groups were built.
+	upstreams []view.Upstream
+	// local is the upstream on this VM, or nil; sameDomain are the other upstreams of
+	// this failure domain, otherDomains the rest.
+	local        *view.Upstream
+	sameDomain   []*view.Upstream
+	otherDomains []*view.Upstream
 }
 
-// partition returns that of a service. It is kept until the view changes.
-func (p *Picker) partition(s *view.Service) *partition {
-	if kept := p.partitions[s.Name]; kept != nil && sameList(kept.of, s.Upstreams) {
-		return kept
+// localityGroupsOf returns the groups of a service's upstreams. They are cached until the
+// view changes.
+func (p *Picker) localityGroupsOf(s *view.Service) *localityGroups {
+	if cached := p.groups[s.Name]; cached != nil && sameList(cached.upstreams, s.Upstreams) {
+		return cached
 	}
-	part := &partition{of: s.Upstreams}
+	groups := &localityGroups{upstreams: s.Upstreams}
 	for i := range s.Upstreams {
 		u := &s.Upstreams[i]
 		switch {
 		case u.Local:
-			part.own = u
+			groups.local = u
 		case u.Domain == p.domain:
-			part.near = append(part.near, u)
+			groups.sameDomain = append(groups.sameDomain, u)
 		default:
-			part.far = append(part.far, u)
+			groups.otherDomains = append(groups.otherDomains, u)
 		}
 	}
-	if len(s.Upstreams) > 1 { // a key's only upstream is not the service
-		p.partitions[s.Name] = part
+	if len(s.Upstreams) > 1 { // a single one may be a key's upstream rather than the whole service
+		p.groups[s.Name] = groups
 	}
-	return part
+	return groups
 }
 
-// sameList reports whether two lists are one and the same. Lists of a view never change.
+// sameList reports whether two lists share the same memory. The lists of a view never
+// change.
 func sameList(a, b []view.Upstream) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// reachable reports whether the own failure domain has an upstream that can be
-// reached, even if it is full.
-func (p *Picker) reachable(part *partition) bool {
-	if part.own != nil && !p.down[part.own.Owner] {
+// domainReachable reports whether this failure domain has a reachable upstream, even if
+// that is full.
+func (p *Picker) domainReachable(groups *localityGroups) bool {
+	if groups.local != nil && !p.down[groups.local.Owner] {
 		return true
 	}
-	for _, u := range part.near {
+	for _, u := range groups.sameDomain {
 		if !p.down[u.Owner] {
 			return true
 		}
--- a/internal/pick/pick.go
+++ b/internal/pick/pick.go
@@ -9,37 +9,38 @@
 	"github.com/comfreygate/comfreygate/internal/view"
 )
 
-// Need is what a call asks of the upstream that is picked for it.
+// Need describes the call for which an upstream is picked.
 type Need struct {
 	Urgency config.Urgency
-	// Objective is the time that an answer should take: a delay of that
-	// length costs as much as the call is worth.
+	// Objective is the time that an answer should take: a delay of that length costs as
+	// much as the call is worth.
 	Objective time.Duration
 	// Took is how long the route's calls usually take.
 	Took time.Duration
-	// Body is the length of the request's body.
+	// Body is the length of the request's body, in bytes.
 	Body int
-	// Bytes is how much travels to the upstream's VM and back.
+	// Bytes is how many bytes are sent to the upstream's VM and back.
 	Bytes int
-	// Home, if not empty, is a key: of the upstreams that may be tried the same one is
-	// picked for it by all daemons, whatever it costs.
+	// Home, if not empty, is a key: all daemons pick the same upstream for it, of those
+	// that may be tried, whatever it costs.
 	Home string
-	// Tried are upstreams that are not picked again.
+	// Tried are the IDs of upstreams that are not picked again.
 	Tried []string
 }
 
 const (
-	// hopCost is what the way to another VM costs as a part of a call's
-	// worth, for the second daemon's processor time.
+	// hopCost is the cost of the path to another VM as a fraction of a call's worth, for
+	// the second daemon's processor time.
 	hopCost = 0.01
-	// farLimit is how much of a call's worth bytes between failure domains
-	// may cost while the own domain has upstreams, even if those are full.
-	farLimit = 1
+	// maxCrossDomainCost is how much, as a multiple of a call's worth, the bytes sent
+	// between failure domains may cost while this daemon's domain has reachable
+	// upstreams, even if those are full.
+	maxCrossDomainCost = 1
 )
 
-// Pick returns an upstream that was not tried yet and counts it as
-// outstanding: Observe and Finished must follow. If none may be used now, the
-// refusal says why, and when to come back.
+// Pick returns an upstream that has not been tried yet and counts the attempt as
+// outstanding: Observe and Finished must follow. If no upstream may be used now, the
+// refusal carries the reason and the retry-after time.
 func (p *Picker) Pick(s *view.Service, n Need) (u view.Upstream, refusal outcome.Result, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,81 +50,81 @@
 	if n.Home != "" {
 		best = p.home(s, n, now)
 	} else {
-		best = p.cheapest(p.partition(s), n, p.typical(s, now), now)
+		best = p.cheapest(p.localityGroupsOf(s), n, p.meansOf(s, now), now)
 	}
 	if best == nil {
 		return u, p.refusal(s, n, now), false
 	}
-	p.of(best).outstanding++
+	p.statsOf(best).outstanding++
 	return *best, outcome.Result{}, true
 }
 
-// UnknownAfter is when to come back where nothing tells when an upstream will be
-// there: by then one that restarts or is out of reach was asked again.
+// UnknownAfter is the retry-after time where it is not known when an upstream will be
+// available: by then one that is restarting or unreachable has been tried again.
 const UnknownAfter = time.Second
 
-// refusal says why none of a service's upstreams can be used, and when the first of
-// those that asked to be left alone may be tried again.
+// refusal returns the reason why none of a service's upstreams can be used, with the time
+// after which the first of those that sent a retry-after time may be tried again.
 func (p *Picker) refusal(s *view.Service, n Need, now time.Time) outcome.Result {
-	reached, after := false, time.Duration(0)
+	anyReachable, retryAfter := false, time.Duration(0)
 	for i := range s.Upstreams {
 		u := &s.Upstreams[i]
 		if p.down[u.Owner] {
 			continue
 		}
-		reached = true
+		anyReachable = true
 		if st := p.stats[u.ID]; st != nil && now.Before(st.avoidUntil[n.Urgency]) {
-			after = sooner(after, st.avoidUntil[n.Urgency].Sub(now))
+			retryAfter = minNonZero(retryAfter, st.avoidUntil[n.Urgency].Sub(now))
 		}
 	}
 	switch {
 	case len(s.Upstreams) == 0:
 		return outcome.Refuse(outcome.ReasonNoUpstream, UnknownAfter)
-	case !reached:
+	case !anyReachable:
 		return outcome.Refuse(outcome.ReasonUnreachable, UnknownAfter)
-	case after == 0:
+	case retryAfter == 0:
 		return outcome.Refuse(outcome.ReasonOverload, UnknownAfter)
 	}
-	return outcome.Refuse(outcome.ReasonOverload, max(after, outcome.MinRetryAfter))
+	return outcome.Refuse(outcome.ReasonOverload, max(retryAfter, outcome.MinRetryAfter))
 }
 
-// sooner returns the shorter of two times, of which a zero does not count.
-func sooner(a, b time.Duration) time.Duration {
+// minNonZero returns the shorter of two times, ignoring zeros.
+func minNonZero(a, b time.Duration) time.Duration {
 	if a == 0 {
 		return b
 	}
 	return min(a, b)
 }
 
-// cheapest returns the best of the own upstream, two random ones of the own
-// failure domain and two of the others. Random ones, because daemons that all
-// took the best known would meet there until the next report of its load.
-func (p *Picker) cheapest(part *partition, n Need, usual typical, now time.Time) *view.Upstream {
+// cheapest returns the cheapest of the local upstream, two random ones of this failure
+// domain and two of the other domains. Candidates are random because daemons that all
+// picked the best known upstream would overload it until its next load report.
+func (p *Picker) cheapest(groups *localityGroups, n Need, means serviceMeans, now time.Time) *view.Upstream {
 	var best *view.Upstream
 	least := 0.0
-	consider := func(u *view.Upstream, way float64) {
-		cost := way + p.delayCost(u, n, usual, now)
+	consider := func(u *view.Upstream, pathCost float64) {
+		cost := pathCost + p.upstreamCost(u, n, means, now)
 		if best == nil || cost < least {
 			best, least = u, cost
 		}
 	}
-	if part.own != nil && p.usable(part.own, n, now) {
-		consider(part.own, 0)
+	if groups.local != nil && p.usable(groups.local, n, now) {
+		consider(groups.local, 0)
 	}
-	for _, u := range p.twoUsable(part.near, n, now) {
+	for _, u := range p.twoUsable(groups.sameDomain, n, now) {
 		consider(u, hopCost)
 	}
-	way := float64(n.Bytes) * p.byteCost
-	if way > farLimit && p.reachable(part) {
+	crossDomainCost := float64(n.Bytes) * p.byteCost
+	if crossDomainCost > maxCrossDomainCost && p.domainReachable(groups) {
 		return best
 	}
-	for _, u := range p.twoUsable(part.far, n, now) {
-		consider(u, hopCost+way)
+	for _, u := range p.twoUsable(groups.otherDomains, n, now) {
+		consider(u, hopCost+crossDomainCost)
 	}
 	return best
 }
 
-// home returns the upstream of the key among those that may be tried now.
+// home returns the key's upstream among those that may be tried now.
 func (p *Picker) home(s *view.Service, n Need, now time.Time) *view.Upstream {
 	var usable []view.Upstream
 	for i := range s.Upstreams {
@@ -143,13 +144,14 @@
 	return st == nil || !now.Before(st.avoidUntil[n.Urgency])
 }
 
-// draws is how many upstreams are drawn to find two usable ones before the whole list
-// is gone through: with half of them out of use, one choice in fifty needs that.
-const draws = 8
+// maxDraws is how many upstreams are drawn at random to find two usable ones before the
+// whole list is searched: with half of the upstreams unusable, one pick in fifty needs
+// the search.
+const maxDraws = 8
 
-// twoUsable returns two random upstreams of the list that may be tried now, or fewer
-// if there are none. What it costs does not grow with the list, unless most of it is
-// out of use.
+// twoUsable returns two random upstreams of the list that may be tried now, or fewer if
+// there are not two. Its cost does not grow with the list unless most upstreams are
+// unusable.
 func (p *Picker) twoUsable(list []*view.Upstream, n Need, now time.Time) []*view.Upstream {
 	var two []*view.Upstream
 	take := func(u *view.Upstream) bool {
@@ -158,8 +160,8 @@
 		}
 		return len(two) == 2
 	}
-	if len(list) > draws {
-		for range draws {
+	if len(list) > maxDraws {
+		for range maxDraws {
 			if take(list[p.rand.IntN(len(list))]) {
 				return two
 			}
@@ -168,8 +170,8 @@
 	if len(list) == 0 {
 		return nil
 	}
-	for i, from := 0, p.rand.IntN(len(list)); i < len(list); i++ {
-		if take(list[(from+i)%len(list)]) {
+	for i, offset := 0, p.rand.IntN(len(list)); i < len(list); i++ {
+		if take(list[(offset+i)%len(list)]) {
 			return two
 		}
 	}
--- a/internal/pick/picker.go
+++ b/internal/pick/picker.go
@@ -1,5 +1,5 @@
-// Package pick chooses an upstream for each attempt, by what its callers' daemon has seen
-// of the upstreams. It carries nothing; the clock is handed in.
+// Package pick chooses an upstream for each attempt, from what this ingress has observed
+// of the upstreams. It does no I/O; the clock is passed in.
 package pick
 
 import (
@@ -15,26 +15,26 @@
 )
 
 const (
-	// reportFresh is how long an owner's report of its load is believed.
-	reportFresh = time.Second
-	// serviceFresh is how long a service time is believed. After it the
-	// upstream is tried again as if it were unknown, so that one that was
-	// slow once is not shunned for good.
-	serviceFresh = 10 * time.Second
+	// loadMaxAge is how long an owner's load report is valid.
+	loadMaxAge = time.Second
+	// serviceTimeMaxAge is how long a reported service time is valid. After that, the upstream
+	// is tried as if it were unknown, so that one that was slow once is not avoided
+	// forever.
+	serviceTimeMaxAge = 10 * time.Second
 	// errorWeight is the weight of the newest answer in the error rate.
 	errorWeight = 0.05
-	// errorCost is what a certain failure costs as a multiple of a call's
-	// worth: more than the longest wait, or an upstream that fails fast would
-	// attract the calls. A likely one costs its square: one failure in ten is
-	// often that of a call made elsewhere, and no reason to leave the failure
-	// domain; six in ten cost half of what a call is worth.
+	// errorCost is the cost of a certain failure as a multiple of a call's worth: more
+	// than the longest wait, or an upstream that fails fast would attract calls. The cost
+	// of a likely failure grows with the square of the error rate: one failure in ten is
+	// often caused by a nested call that failed elsewhere, and no reason to leave the
+	// failure domain; six in ten cost half of a call's worth.
 	errorCost = 1.5
 )
 
-// awayRetry is when an upstream that has left or could not be reached is tried
-// again: half of what a killed process takes to come back, so that it is found
-// soon and the attempts that only find it gone stay few.
-const awayRetry = 500 * time.Millisecond
+// unavailableRetry is when an upstream that was draining, gone or unreachable is tried
+// again: half of what a killed process takes to restart, so that it is found soon, and
+// few attempts fail before.
+const unavailableRetry = 500 * time.Millisecond
 
 // stats is what this ingress knows of one upstream.
 type stats struct {
@@ -42,21 +42,20 @@
 	load        outcome.Load
 	loadAt      time.Time
 	errors      float64
-	// avoidUntil is set while the owner asked to be left alone, by urgency: a
-	// refusal says nothing about calls that are more urgent, which may take
-	// the place of those that wait.
+	// avoidUntil is, by urgency, the time until which the owner asked to send no calls. A
+	// refusal says nothing about more urgent calls, which may displace waiting ones.
 	avoidUntil [config.MostUrgent + 1]time.Time
-	room       room
-	seen       time.Time
+	refusals   refusalRates
+	usedAt     time.Time
 }
 
-// Picker chooses an upstream for each attempt: the one where the expected time
-// and the way there cost least. Safe for concurrent use.
+// Picker chooses an upstream for each attempt: the one with the lowest cost of expected
+// time and path. Safe for concurrent use.
 type Picker struct {
 	mu     sync.Mutex
 	domain string
-	// byteCost is what a byte between failure domains costs as a part of a
-	// call's worth.
+	// byteCost is the cost of a byte between failure domains as a fraction of a call's
+	// worth.
 	byteCost float64
 	now      func() time.Time
 	rand     *rand.Rand
@@ -64,51 +63,52 @@
 	// down holds the owners that this daemon cannot reach.
 	down   map[string]bool
 	routes routeTable
-	// partitions and typicals hold what follows from a service's upstreams, by its name.
-	partitions map[string]*partition
-	typicals   map[string]typicalAt
-	// rooms holds the part of the calls that all owners refuse, by service.
-	rooms map[string]*room
-	sweep time.Time
+	// groups and means cache what is derived from a service's upstreams, by service name.
+	groups map[string]*localityGroups
+	means  map[string]cachedMeans
+	// refusals holds the refusal rates over all owners, by service.
+	refusals   map[string]*refusalRates
+	nextExpiry time.Time
 }
 
-// New returns a picker for a daemon of the failure domain. byteCost is what a byte between
-// failure domains costs as a part of a call's worth.
+// New returns a picker for a daemon of the failure domain. byteCost is the cost of a byte
+// between failure domains as a fraction of a call's worth.
 func New(domain string, byteCost float64, now func() time.Time, seed uint64) *Picker {
 	return &Picker{
 		domain: domain, byteCost: byteCost, now: now, rand: rand.New(rand.NewPCG(seed, seed)),
 		stats: map[string]*stats{}, down: map[string]bool{}, routes: routeTable{},
-		partitions: map[string]*partition{}, typicals: map[string]typicalAt{}, rooms: map[string]*room{},
+		groups: map[string]*localityGroups{}, means: map[string]cachedMeans{}, refusals: map[string]*refusalRates{},
 	}
 }
 
-// busy is the most attempts known to be at the upstream.
+// busy is the number of attempts known to be at the upstream: the higher of this daemon's
+// own count and the last report.
 func (p *Picker) busy(st *stats, now time.Time) int {
 	if st == nil {
 		return 0
 	}
 	n := st.outstanding
-	if now.Sub(st.loadAt) < reportFresh {
+	if now.Sub(st.loadAt) < loadMaxAge {
 		n = max(n, st.load.InFlight+st.load.Queued)
 	}
 	return n
 }
 
-// Observe takes note of what became of an attempt at the upstream.
+// Observe records the result of an attempt at the upstream.
 func (p *Picker) Observe(u view.Upstream, urgency config.Urgency, r outcome.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	st := p.of(&u)
+	st := p.statsOf(&u)
 	if r.HasLoad {
 		st.load = r.Load
 		st.loadAt = p.now()
 	}
-	p.noteRoom(u.Service, st, urgency, r, p.now())
+	p.recordRefusal(u.Service, st, urgency, r, p.now())
 	switch {
 	case r.OfRequest():
-		// Others are as welcome there as before.
+		// The result depends on the request, not on the upstream.
 	case r.Outcome == outcome.NotRun && r.Away():
-		st.avoid(config.MostUrgent, p.now().Add(awayRetry))
+		st.avoid(config.MostUrgent, p.now().Add(unavailableRetry))
 	case r.Outcome == outcome.NotRun && r.RetryAfter > 0:
 		st.avoid(urgency, p.now().Add(r.RetryAfter))
 	case r.Outcome == outcome.Answered && r.Status < 500:
@@ -118,46 +118,46 @@
 	}
 }
 
-// avoid keeps calls of this urgency and below away until then.
+// avoid keeps calls of this urgency and below away from the upstream until the given
+// time.
 func (st *stats) avoid(urgency config.Urgency, until time.Time) {
 	for u := range urgency + 1 {
 		st.avoidUntil[u] = until
 	}
 }
 
-// Finished takes note that an attempt picked before is no longer outstanding.
+// Finished records that an attempt picked before is no longer outstanding.
 func (p *Picker) Finished(u view.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.of(&u).outstanding--
+	p.statsOf(&u).outstanding--
 }
 
-func (p *Picker) of(u *view.Upstream) *stats {
+func (p *Picker) statsOf(u *view.Upstream) *stats {
 	st := p.stats[u.ID]
 	if st == nil {
 		st = &stats{}
 		p.stats[u.ID] = st
 	}
-	st.seen = p.now()
+	st.usedAt = p.now()
 	return st
 }
 
-// SetDown takes note whether an owner can be reached. It reports whether that
-// is news.
+// SetDown records whether an owner is reachable. It reports whether that changed.
 func (p *Picker) SetDown(owner string, down bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	news := p.down[owner] != down
+	changed := p.down[owner] != down
 	if down {
 		p.down[owner] = true
 	} else {
 		delete(p.down, owner)
 	}
-	return news
+	return changed
 }
 
-// statsKeep is how long an unused upstream's statistics are kept.
-const statsKeep = 10 * time.Minute
+// statsRetention is how long the statistics of an unused upstream are kept.
+const statsRetention = 10 * time.Minute
 
 // Loads returns the loads that owners reported recently.
 func (p *Picker) Loads() map[string]outcome.Load {
@@ -166,7 +166,7 @@
 	now := p.now()
 	loads := map[string]outcome.Load{}
 	for id, st := range p.stats {
-		if now.Sub(st.loadAt) < serviceFresh {
+		if now.Sub(st.loadAt) < serviceTimeMaxAge {
 			loads[id] = st.load
 		}
 	}
@@ -174,27 +174,27 @@
 }
 
 func (p *Picker) expire(now time.Time) {
-	if now.Before(p.sweep) {
+	if now.Before(p.nextExpiry) {
 		return
 	}
-	p.sweep = now.Add(statsKeep / 10)
-	clear(p.partitions)
-	clear(p.typicals)
+	p.nextExpiry = now.Add(statsRetention / 10)
+	clear(p.groups)
+	clear(p.means)
 	for id, st := range p.stats {
-		if st.outstanding == 0 && now.Sub(st.seen) > statsKeep {
+		if st.outstanding == 0 && now.Sub(st.usedAt) > statsRetention {
 			delete(p.stats, id)
 		}
 	}
 }
 
 // Home returns the upstream with the highest rendezvous hash for the key.
-func Home(list []view.Upstream, key string) *view.Upstream {
+func Home(upstreams []view.Upstream, key string) *view.Upstream {
 	var home *view.Upstream
 	var best uint64
-	for i := range list {
-		h := xxhash.Sum64String(list[i].ID + "\x00" + key)
+	for i := range upstreams {
+		h := xxhash.Sum64String(upstreams[i].ID + "\x00" + key)
 		if home == nil || h > best {
-			home, best = &list[i], h
+			home, best = &upstreams[i], h
 		}
 	}
 	return home
--- a/internal/pick/room.go
+++ b/internal/pick/room.go
@@ -9,82 +9,88 @@
 )
 
 const (
-	// refusalCost is what a certain refusal costs as a part of a call's worth: a slow
-	// answer is worth more than none. A likely one costs its square: where some are
-	// refused everywhere, that is no reason to leave the failure domain.
+	// refusalCost is the cost of a certain refusal as a fraction of a call's worth: a
+	// slow answer is worth more than none. The cost of a likely refusal grows with the
+	// square of its probability: where some calls are refused everywhere, that is no
+	// reason to leave the failure domain.
 	refusalCost = 1
-	// roomWeight is the weight of the newest attempt in the part that an owner refuses,
-	// serviceRoomWeight in that of all owners of a service.
-	roomWeight        = 0.3
-	serviceRoomWeight = 0.02
-	// roomMemory is how fast it is forgotten what an owner refused: after it, one is
-	// taken to refuse as many as the others of its service.
-	roomMemory = 2 * time.Second
+	// ownerRefusalWeight is the weight of the newest attempt in an owner's refusal rate,
+	// serviceRefusalWeight in that of all owners of a service.
+	ownerRefusalWeight   = 0.3
+	serviceRefusalWeight = 0.02
+	// refusalDecayTime is the time constant with which an owner's refusal rate decays
+	// towards the rate of all owners of its service.
+	refusalDecayTime = 2 * time.Second
 )
 
-// room is the part of the calls that owners had no room for lately, by urgency.
-type room struct {
-	refused [config.MostUrgent + 1]float64
-	at      time.Time
+// refusalRates is the fraction of the recent calls that owners refused for lack of
+// capacity, by urgency.
+type refusalRates struct {
+	byUrgency [config.MostUrgent + 1]float64
+	updatedAt time.Time
 }
 
-// note takes in whether there was room for a call of this urgency. If there was none,
-// there was none for less urgent ones; if there was some, there was for more urgent ones.
-func (r *room) note(urgency config.Urgency, res outcome.Result, weight float64, now time.Time) {
-	r.at = now
+// record records whether a call of this urgency was refused for lack of capacity. If it
+// was, less urgent ones would have been refused too; if it was not, neither would more
+// urgent ones have been.
+func (r *refusalRates) record(urgency config.Urgency, res outcome.Result, weight float64, now time.Time) {
+	r.updatedAt = now
 	switch {
 	case res.OfRequest():
 	case res.Full():
 		for u := range urgency + 1 {
-			r.refused[u] += weight * (1 - r.refused[u])
+			r.byUrgency[u] += weight * (1 - r.byUrgency[u])
 		}
 	case res.Reached():
 		for u := urgency; u <= config.MostUrgent; u++ {
-			r.refused[u] -= weight * r.refused[u]
+			r.byUrgency[u] -= weight * r.byUrgency[u]
 		}
 	}
 }
 
-// kept is the part of what is known that counts yet: none before anything is.
-func (r *room) kept(now time.Time) float64 {
-	if r.at.IsZero() {
+// remainingWeight is the weight that the rates still have after their decay; zero if none
+// were recorded yet.
+func (r *refusalRates) remainingWeight(now time.Time) float64 {
+	if r.updatedAt.IsZero() {
 		return 0
 	}
-	return math.Exp(-float64(now.Sub(r.at)) / float64(roomMemory))
+	return math.Exp(-float64(now.Sub(r.updatedAt)) / float64(refusalDecayTime))
 }
 
-// noteRoom takes in what became of an attempt.
-func (p *Picker) noteRoom(service string, st *stats, urgency config.Urgency, r outcome.Result, now time.Time) {
-	all := p.rooms[service]
+// recordRefusal records whether an attempt was refused, for its upstream and for its
+// service.
+func (p *Picker) recordRefusal(service string, st *stats, urgency config.Urgency, r outcome.Result, now time.Time) {
+	all := p.refusals[service]
 	if all == nil {
-		all = &room{}
-		p.rooms[service] = all
+		all = &refusalRates{}
+		p.refusals[service] = all
 	}
-	keep := st.room.kept(now)
-	for u, refused := range st.room.refused {
-		st.room.refused[u] = all.refused[u] + keep*(refused-all.refused[u])
+	weight := st.refusals.remainingWeight(now)
+	for u, refused := range st.refusals.byUrgency {
+		st.refusals.byUrgency[u] = all.byUrgency[u] + weight*(refused-all.byUrgency[u])
 	}
-	st.room.note(urgency, r, roomWeight, now)
-	all.note(urgency, r, serviceRoomWeight, now)
+	st.refusals.record(urgency, r, ownerRefusalWeight, now)
+	all.record(urgency, r, serviceRefusalWeight, now)
 }
 
-// refused returns the part of the calls of an urgency that an owner refuses, as far as is
-// known: one that was not asked lately refuses as many as the others. Else a daemon among
-// hundreds would send its calls to those that it knows nothing of.
-func (p *Picker) refused(service string, st *stats, urgency config.Urgency, now time.Time) float64 {
-	all := p.rooms[service]
+// refusalRate returns the estimated fraction of the calls of an urgency that an owner
+// refuses. An owner without recent calls counts like the mean of its service; otherwise a
+// daemon in a fleet of hundreds would send its calls to those that it knows nothing
+// about.
+func (p *Picker) refusalRate(service string, st *stats, urgency config.Urgency, now time.Time) float64 {
+	all := p.refusals[service]
 	switch {
 	case all == nil:
 		return 0
 	case st == nil:
-		return all.refused[urgency]
+		return all.byUrgency[urgency]
 	}
-	keep := st.room.kept(now)
-	return all.refused[urgency] + keep*(st.room.refused[urgency]-all.refused[urgency])
+	weight := st.refusals.remainingWeight(now)
+	return all.byUrgency[urgency] + weight*(st.refusals.byUrgency[urgency]-all.byUrgency[urgency])
 }
 
-// roomCost is what the chance of a refusal costs as a part of a call's worth.
-func (p *Picker) roomCost(service string, st *stats, urgency config.Urgency, now time.Time) float64 {
-	refused := p.refused(service, st, urgency, now)
+// refusalCostOf is the cost of the chance of a refusal, as a fraction of a call's worth.
+func (p *Picker) refusalCostOf(service string, st *stats, urgency config.Urgency, now time.Time) float64 {
+	refused := p.refusalRate(service, st, urgency, now)
 	return refusalCost * refused * refused
 }
--- a/internal/pick/room_test.go
+++ b/internal/pick/room_test.go
@@ -12,10 +12,11 @@
 	"github.com/comfreygate/comfreygate/internal/view"
 )
 
-// TestSlowOneWithRoomBeforeFullOne has a fast upstream refuse all calls beside a slow one
-// that takes them: callers are better served late than not. Pattern: a third of the
-// upstreams took more than twice as long, and stood half idle while others refused.
-func TestSlowOneWithRoomBeforeFullOne(t *testing.T) {
+// TestSlowUpstreamIsPreferredToOneThatRefuses has a fast upstream refuse all calls next
+// to a slow one that accepts them: a late answer is better than a refusal. In the case it
+// stands for, a third of the upstreams took more than twice as long as the rest and
+// stayed half idle while the others refused calls.
+func TestSlowUpstreamIsPreferredToOneThatRefuses(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	p := New("d", 0, func() time.Time { return now }, 1)
@@ -42,13 +43,13 @@
 		p.Observe(u, config.Normal, r)
 		p.Finished(u)
 	}
-	t.Logf("%d of 100 calls went to the one with room", picked)
+	t.Logf("%d of 100 calls sent to the upstream that accepts them", picked)
 	is.True(picked >= 80)
 }
 
-// TestRefusalsAreForgotten has an owner refuse for a while: it is then taken to be like the
-// others of its service, which know no refusals.
-func TestRefusalsAreForgotten(t *testing.T) {
+// TestRefusalRatesDecay has an owner refuse calls for a while. After some decay times it
+// must count like the other owners of its service, which refuse none.
+func TestRefusalRatesDecay(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	p := New("d", 0, func() time.Time { return now }, 1)
@@ -57,13 +58,13 @@
 	for range 20 {
 		p.Observe(full, config.Normal, outcome.Refuse(outcome.ReasonOverload, time.Millisecond))
 	}
-	is.True(p.refused("s", p.stats["a"], config.Normal, now) > 0.9)
-	is.True(p.refused("s", p.stats["a"], config.Background, now) > 0.9)
-	is.Equal(p.refused("s", p.stats["a"], config.Critical, now), 0.0) // it may have room for those
+	is.True(p.refusalRate("s", p.stats["a"], config.Normal, now) > 0.9)
+	is.True(p.refusalRate("s", p.stats["a"], config.Background, now) > 0.9)
+	is.Equal(p.refusalRate("s", p.stats["a"], config.Critical, now), 0.0) // more urgent calls may be accepted
 	for range 200 {
 		p.Observe(other, config.Normal, answered)
 	}
-	now = now.Add(4 * roomMemory)
-	is.True(p.refused("s", p.stats["a"], config.Normal, now) < 0.05)
-	is.True(p.refused("s", nil, config.Normal, now) < 0.05) // one that is not known
+	now = now.Add(4 * refusalDecayTime)
+	is.True(p.refusalRate("s", p.stats["a"], config.Normal, now) < 0.05)
+	is.True(p.refusalRate("s", nil, config.Normal, now) < 0.05) // an upstream without statistics
 }
--- a/internal/pick/routestats.go
+++ b/internal/pick/routestats.go
@@ -3,41 +3,41 @@
 import "time"
 
 const (
-	// headerBytes is the size of a call's headers on the way to another VM
-	// and back, beside its bodies.
+	// headerBytes is the size of a call's headers on the way to another VM and back,
+	// without its bodies.
 	headerBytes = 900
 	// routeWeight is the weight of the newest answer in a route's means.
 	routeWeight = 0.1
-	// firstSize is the size of an answer, in bytes, before one was seen.
-	firstSize = 2000
-	// longestWeight is how fast the longest time that callers of a route give
-	// is forgotten, by each call that is given less.
-	longestWeight = 0.01
-	// longestFactor bounds that time as a multiple of the route's timeout, so
-	// that a caller with endless patience does not make all others look late.
-	longestFactor = 3
-	// routesMax bounds the routes whose means are kept.
-	routesMax = 10_000
+	// initialAnswerBytes is the assumed size of an answer before the first one.
+	initialAnswerBytes = 2000
+	// maxTimeGivenDecay is the fraction of the difference by which the longest time that
+	// callers of a route allow decays with each call that is allowed less.
+	maxTimeGivenDecay = 0.01
+	// maxTimeGivenFactor bounds that time as a multiple of the route's timeout, so that a
+	// caller with an unlimited deadline does not make all others look late.
+	maxTimeGivenFactor = 3
+	// maxRoutes bounds the number of routes whose means are kept.
+	maxRoutes = 10_000
 )
 
-// routeStats are means over the answers to a route's calls.
+// routeStats holds means over the answers to a route's calls.
 type routeStats struct {
-	size float64
-	took float64
-	// longest is the longest time that a caller gave a call, of late.
-	longest float64
-	// answers is whether size and took were measured.
-	answers bool
+	answerBytes float64
+	took        float64
+	// maxTimeGiven is the longest time that a caller recently allowed for a call.
+	maxTimeGiven float64
+	// measured is set once an answer has set answerBytes and took.
+	measured bool
 }
 
-// routeTable holds the means by route. Its owner's mutex guards it.
+// routeTable holds the means by route. Guarded by the mutex of the owning Picker.
 type routeTable map[string]*routeStats
 
-// of returns the means of a route.
-func (t routeTable) of(route string) *routeStats {
+// get returns the means of a route.
+func (t routeTable) get(route string) *routeStats {
 	r := t[route]
 	if r == nil {
-		if len(t) >= routesMax {
+		if len(t) >= maxRoutes {
 			clear(t)
 		}
 		r = &routeStats{}
@@ -46,56 +46,56 @@
 	return r
 }
 
-// note takes in one answer.
-func (t routeTable) note(route string, size int, took time.Duration) {
-	r := t.of(route)
-	if !r.answers {
-		r.size, r.took, r.answers = float64(size), float64(took), true
+// record records the size and the duration of one answer.
+func (t routeTable) record(route string, size int, took time.Duration) {
+	r := t.get(route)
+	if !r.measured {
+		r.answerBytes, r.took, r.measured = float64(size), float64(took), true
 		return
 	}
-	r.size += routeWeight * (float64(size) - r.size)
+	r.answerBytes += routeWeight * (float64(size) - r.answerBytes)
 	r.took += routeWeight * (float64(took) - r.took)
 }
 
-// waited returns how long a caller has probably waited already: callers give a
-// call less time when they come back with it.
+// waited returns how long a caller has probably waited already: callers allow less time
+// for a call when they retry it.
 func (t routeTable) waited(route string, left, timeout time.Duration) time.Duration {
-	r := t.of(route)
-	given := float64(min(left, longestFactor*timeout))
-	if given >= r.longest {
-		r.longest = given
+	r := t.get(route)
+	timeGiven := float64(min(left, maxTimeGivenFactor*timeout))
+	if timeGiven >= r.maxTimeGiven {
+		r.maxTimeGiven = timeGiven
 		return 0
 	}
-	waited := r.longest - given
-	r.longest -= longestWeight * waited
+	waited := r.maxTimeGiven - timeGiven
+	r.maxTimeGiven -= maxTimeGivenDecay * waited
 	return time.Duration(waited)
 }
 
-// expect returns what a call of the route with this body moves, in bytes, and
-// how long it takes; before the first answer, a quarter of its objective.
+// expect returns how many bytes a call of the route with this body moves, and how long it
+// takes; before the first answer, the duration is a quarter of its objective.
 func (t routeTable) expect(route string, body int, objective time.Duration) (bytes int, took time.Duration) {
 	r := t[route]
-	if r == nil || !r.answers {
-		return headerBytes + body + firstSize, objective / 4
+	if r == nil || !r.measured {
+		return headerBytes + body + initialAnswerBytes, objective / 4
 	}
-	return headerBytes + body + int(r.size), time.Duration(r.took)
+	return headerBytes + body + int(r.answerBytes), time.Duration(r.took)
 }
 
-// Expect returns the means of a route's calls.
+// Expect returns how many bytes a call of the route moves, and how long it takes.
 func (p *Picker) Expect(route string, body int, objective time.Duration) (bytes int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.routes.expect(route, body, objective)
 }
 
-// Note takes in the size and the time of an answer to a route's call.
+// Note records the size and the duration of an answer to a route's call.
 func (p *Picker) Note(route string, size int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.routes.note(route, size, took)
+	p.routes.record(route, size, took)
 }
 
-// Waited returns how long a caller with so much time left has probably waited.
+// Waited returns how long a caller with so much time left has probably waited already.
 func (p *Picker) Waited(route string, left, timeout time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pick/routestats_test.go
+++ b/internal/pick/routestats_test.go
@@ -7,10 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// TestCallersWhoComeBackAreKnownByTheTimeTheyHaveLeft: of callers that give a
-// call 6 s, one that comes with 4.5 s has waited; that a single one is more
-// patient than all others must not make those look late for long.
-func TestCallersWhoComeBackAreKnownByTheTimeTheyHaveLeft(t *testing.T) {
+// TestRetryingCallersAreKnownByTheTimeTheyHaveLeft: where callers allow 6 s for a call,
+// one that arrives with 4.5 s left has waited before. A single caller that allows much
+// more time than all others must not make those look late for long.
+func TestRetryingCallersAreKnownByTheTimeTheyHaveLeft(t *testing.T) {
 	const timeout = 3 * time.Second
 	is := is.New(t)
 	routes := routeTable{}
@@ -24,5 +24,5 @@
 	}
 	is.True(routes.waited("r", 6*time.Second, timeout) < 50*time.Millisecond)
 	_, took := routes.expect("r", 0, 400*time.Millisecond)
-	is.Equal(took, 100*time.Millisecond) // nothing was answered yet
+	is.Equal(took, 100*time.Millisecond) // no answer recorded yet
 }
