--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -77,7 +77,7 @@
 	}
 	is.True(enter(config.Normal, false, 0) == nil) // takes the slot
 	first, second := enter(config.Normal, false, 0), enter(config.Normal, false, 0)
-	is.True(enter(config.Normal, true, 1) == nil) // refused: its parent's upstream has room
+	is.True(enter(config.Normal, true, 1) == nil) // refused: its parent's upstream is not short of slots
 	nested := enter(config.Normal, true, 0.3)
 	is.True(refused(second))
 	urgent := enter(config.Critical, false, 0)
--- a/internal/pick/picker.go
+++ b/internal/pick/picker.go
@@ -17,9 +17,9 @@
 const (
 	// loadMaxAge is how long an owner's load report is valid.
 	loadMaxAge = time.Second
-	// serviceTimeMaxAge is how long a reported service time is valid. After that, the upstream
-	// is tried as if it were unknown, so that one that was slow once is not avoided
-	// forever.
+	// serviceTimeMaxAge is how long a reported service time is valid. After that, the
+	// upstream is tried as if it were unknown, so that one that was slow once is not
+	// avoided forever.
 	serviceTimeMaxAge = 10 * time.Second
 	// errorWeight is the weight of the newest answer in the error rate.
 	errorWeight = 0.05
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -10,9 +10,9 @@
 const (
 	// replyLifetime is how long a coordinator's reply is valid.
 	replyLifetime = 500 * time.Millisecond
-	// maxUnackedSeconds bounds the calls that a daemon admits of a workspace without a
-	// reply from the coordinator, as a time at the rate of the whole limit; then it
-	// requests grants. minUnackedCalls is added to that number of calls.
+	// maxUnackedSeconds and minUnackedCalls bound the calls of a workspace that a daemon may
+	// admit after a reply: the calls of that many seconds at the rate of the
+	// whole limit, plus that number of calls. Beyond the bound, calls need grants.
 	maxUnackedSeconds = 0.2
 	minUnackedCalls   = 2
 	// fallbackBurst is how many calls a daemon without a valid reply admits at once, and
