--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
 // Package peer carries messages between daemons over jsonrpc2 on long-lived
-// TCP connections. It decides nothing: connections and messages are reported
-// to a sink, and what to open, send and close comes from outside.
+// TCP connections. It makes no control decisions: it reports connections and messages
+// to a sink, and its user decides what to open, send and close.
 package peer
 
 import (
@@ -24,15 +24,15 @@
 )
 
 const (
-	// queueLen bounds the messages waiting for a connection. One that cannot
-	// take them is given up: it must never hold up the others.
+	// queueLen bounds the messages that wait to be sent on a connection. A connection
+	// whose queue is full is closed, so that it never delays the others.
 	queueLen = 256
-	// writeTimeout bounds the sending of one message.
+	// writeTimeout bounds the time to send one message.
 	writeTimeout = 10 * time.Second
 	dialTimeout  = 2 * time.Second
 )
 
-// Sink takes inputs for the control systems. It must not block for long.
+// Sink receives the inputs of the control systems. It must not block for long.
 type Sink func(system.Input)
 
 // Transport holds the control connections of a daemon. Safe for concurrent use.
@@ -49,21 +49,21 @@
 	ln     net.Listener
 }
 
-// quiet drops what the library logs: the end of each connection, which is
-// reported to the sink.
-var quiet = log.New(io.Discard, "", 0)
+// discardLogger drops the log lines of the jsonrpc2 library. It logs the end of each
+// connection, which is reported to the sink anyway.
+var discardLogger = log.New(io.Discard, "", 0)
 
 type conn struct {
-	id    table.LinkID
-	rpc   *jsonrpc2.Conn
-	raw   net.Conn
-	queue chan wire.Message
-	done  chan struct{}
-	once  sync.Once
+	id        table.LinkID
+	rpc       *jsonrpc2.Conn
+	raw       net.Conn
+	queue     chan wire.Message
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
-// New returns a transport that reports to sink. Connections are opened from
-// the address source, or from any if that is nil.
+// New returns a transport that reports to sink. Outgoing connections use source as
+// their local address, or any address if source is nil.
 func New(sink Sink, clock *event.Clock, source net.Addr, r metrics.Registry) *Transport {
 	return &Transport{
 		sink: sink, clock: clock, metrics: r, conns: map[table.LinkID]*conn{},
@@ -81,7 +81,7 @@
 		if err != nil {
 			return
 		}
-		t.add(raw, system.Opened{})
+		t.register(raw, system.Opened{})
 	}
 }
 
@@ -93,11 +93,12 @@
 			t.sink(system.DialFailed{Addr: d.Addr, Reason: err.Error()})
 			return
 		}
-		t.add(raw, system.Opened{Dialed: true, Probe: d.Probe, Addr: d.Addr})
+		t.register(raw, system.Opened{Dialed: true, Probe: d.Probe, Addr: d.Addr})
 	}()
 }
 
-func (t *Transport) add(raw net.Conn, opened system.Opened) {
+// register adds an open connection, reports it and starts its goroutines.
+func (t *Transport) register(raw net.Conn, opened system.Opened) {
 	c := &conn{
 		id: table.LinkID(t.lastID.Add(1)), raw: raw,
 		queue: make(chan wire.Message, queueLen), done: make(chan struct{}),
@@ -113,18 +114,18 @@
 	t.mu.Unlock()
 	t.sink(opened)
 	stream := newStream(&countedConn{Conn: raw, in: t.counter("control.bytes_in"), out: t.counter("control.bytes_out")})
-	c.rpc = jsonrpc2.NewConn(context.Background(), stream, &handler{transport: t, conn: c}, jsonrpc2.SetLogger(quiet))
-	go t.write(c)
+	c.rpc = jsonrpc2.NewConn(context.Background(), stream, &handler{transport: t, conn: c}, jsonrpc2.SetLogger(discardLogger))
+	go t.writeLoop(c)
 	go t.watch(c)
 }
 
-// write sends the queued messages in order.
-func (t *Transport) write(c *conn) {
+// writeLoop sends the queued messages of a connection in order.
+func (t *Transport) writeLoop(c *conn) {
 	for {
 		select {
 		case m := <-c.queue:
 			if err := t.notify(c, m); err != nil {
-				t.end(c)
+				t.closeConn(c)
 				return
 			}
 		case <-c.done:
@@ -136,7 +137,7 @@
 func (t *Transport) notify(c *conn, m wire.Message) error {
 	body, err := json.Marshal(m)
 	if err != nil {
-		return errors.Wrapf(err, "encode %s", m.Method())
+		return errors.Wrapf(err, "encode control message %s", m.Method())
 	}
 	t.counter("control.sent." + m.Method()).Inc(1)
 	t.counter("control.sent_bytes." + m.Method()).Inc(int64(len(body)))
@@ -146,15 +147,15 @@
 	return c.rpc.Notify(context.Background(), m.Method(), wire.Envelope{Clock: t.clock.Now(), Body: body})
 }
 
-// watch reports the end of a connection.
+// watch waits for the end of a connection and reports it.
 func (t *Transport) watch(c *conn) {
 	<-c.rpc.DisconnectNotify()
-	t.end(c)
-	t.sink(system.Closed{Link: c.id, Reason: "connection ended"})
+	t.closeConn(c)
+	t.sink(system.Closed{Link: c.id, Reason: "connection closed"})
 }
 
-func (t *Transport) end(c *conn) {
-	c.once.Do(func() {
+func (t *Transport) closeConn(c *conn) {
+	c.closeOnce.Do(func() {
 		t.mu.Lock()
 		delete(t.conns, c.id)
 		t.mu.Unlock()
@@ -174,24 +175,25 @@
 	select {
 	case c.queue <- s.Message:
 	default:
-		t.end(c)
+		t.closeConn(c)
 	}
 }
 
-// closeLinger lets queued messages, such as a refusal, leave before a close.
-const closeLinger = 100 * time.Millisecond
+// closeDelay is the time that queued messages, such as a refusal, have to be sent before
+// the connection is closed.
+const closeDelay = 100 * time.Millisecond
 
-// Close ends a connection.
+// Close closes a connection after closeDelay.
 func (t *Transport) Close(id table.LinkID) {
 	t.mu.Lock()
 	c := t.conns[id]
 	t.mu.Unlock()
 	if c != nil {
-		time.AfterFunc(closeLinger, func() { t.end(c) })
+		time.AfterFunc(closeDelay, func() { t.closeConn(c) })
 	}
 }
 
-// Shutdown ends all connections and accepts no more.
+// Shutdown closes the listener and all connections.
 func (t *Transport) Shutdown() {
 	t.mu.Lock()
 	t.closed = true
@@ -204,7 +206,7 @@
 	}
 	t.mu.Unlock()
 	for _, c := range conns {
-		t.end(c)
+		t.closeConn(c)
 	}
 }
 
@@ -217,29 +219,29 @@
 	conn      *conn
 }
 
-// Handle implements jsonrpc2.Handler. It is called for one message at a time,
-// so the order of arrival is kept.
+// Handle implements jsonrpc2.Handler. It is called for one message at a time, so
+// messages are reported in the order of their arrival.
 func (h *handler) Handle(_ context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	if req.Params == nil {
-		h.transport.end(h.conn)
+		h.transport.closeConn(h.conn)
 		return
 	}
 	var env wire.Envelope
 	if err := json.Unmarshal(*req.Params, &env); err != nil {
-		h.transport.end(h.conn)
+		h.transport.closeConn(h.conn)
 		return
 	}
 	m, err := wire.Decode(req.Method, env.Body)
 	if err != nil {
 		h.transport.counter("control.undecodable").Inc(1)
-		h.transport.end(h.conn)
+		h.transport.closeConn(h.conn)
 		return
 	}
 	h.transport.clock.Observe(env.Clock)
 	h.transport.sink(system.Received{Link: h.conn.id, Message: m})
 }
 
-// countedConn counts bytes at the socket.
+// countedConn counts the bytes read from and written to a connection.
 type countedConn struct {
 	net.Conn
 	in, out metrics.Counter
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -11,20 +11,22 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// compressWindow is how far back compression looks, in bytes: as far as a compressor
-// without a state of its own can. Messages repeat names and keys of the ones just before
-// them. A compressor with its own tables takes most of a megabyte a connection, and at a
-// start of everything more time to touch it than all else.
-const compressWindow = 8 << 10
+// dictBytes is the length of the compression dictionary, which is the longest that
+// stateless compression can use. The dictionary is the end of what was sent before, since
+// messages repeat the names and keys of the preceding ones. A stateful compressor would
+// take most of a megabyte for each connection, and when all daemons start at once,
+// touching that memory would take more time than everything else.
+const dictBytes = 8 << 10
 
-// stream frames messages as JSON values one after the other, compressed as
-// one flow per direction and flushed after each message.
+// stream sends messages as consecutive JSON values. Each direction is one compressed
+// stream, which is flushed after each message.
 type stream struct {
 	conn net.Conn
 	mu   sync.Mutex
 	buf  *bufio.Writer
-	// sent is the end of what was sent, before it was compressed.
-	sent []byte
+	// dict holds the last dictBytes bytes sent, uncompressed. It is the dictionary for
+	// compressing the next message.
+	dict []byte
 	dec  *json.Decoder
 }
 
@@ -44,23 +46,23 @@
 	if err != nil {
 		return err
 	}
-	if err := flate.StatelessDeflate(s.buf, b, false, s.sent); err != nil {
+	if err := flate.StatelessDeflate(s.buf, b, false, s.dict); err != nil {
 		return errors.Wrap(err, "compress control message")
 	}
-	s.keep(b)
+	s.updateDict(b)
 	return s.buf.Flush()
 }
 
-// keep remembers the end of what was sent.
-func (s *stream) keep(b []byte) {
-	if len(b) >= compressWindow {
-		s.sent = append(s.sent[:0], b[len(b)-compressWindow:]...)
+// updateDict appends the message sent to the dictionary and drops what is too old for it.
+func (s *stream) updateDict(b []byte) {
+	if len(b) >= dictBytes {
+		s.dict = append(s.dict[:0], b[len(b)-dictBytes:]...)
 		return
 	}
-	if over := len(s.sent) + len(b) - compressWindow; over > 0 {
-		s.sent = append(s.sent[:0], s.sent[over:]...)
+	if excess := len(s.dict) + len(b) - dictBytes; excess > 0 {
+		s.dict = append(s.dict[:0], s.dict[excess:]...)
 	}
-	s.sent = append(s.sent, b...)
+	s.dict = append(s.dict, b...)
 }
 
 // ReadObject implements jsonrpc2.ObjectStream.
--- a/internal/peer/stream_test.go
+++ b/internal/peer/stream_test.go
@@ -11,7 +11,7 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// bufferConn is a connection whose other end is a buffer.
+// bufferConn is a connection that reads from and writes to a buffer.
 type bufferConn struct {
 	net.Conn
 	bytes.Buffer
@@ -23,9 +23,9 @@
 // Write implements net.Conn.
 func (c *bufferConn) Write(b []byte) (int, error) { return c.Buffer.Write(b) }
 
-// TestMessageCutAtAnyByteIsNotDelivered cuts a connection at every byte of a
-// message: either all of it arrives or none.
-func TestMessageCutAtAnyByteIsNotDelivered(t *testing.T) {
+// TestTruncatedMessageIsNotDelivered truncates a message at every byte, as a connection
+// that fails in the middle of it does: the message must arrive whole or not at all.
+func TestTruncatedMessageIsNotDelivered(t *testing.T) {
 	is := is.New(t)
 	want := wire.Records{From: 7, Version: 9, Hash: "h", Data: [][]byte{[]byte(strings.Repeat("record ", 50))}}
 	var sent bufferConn
@@ -45,7 +45,8 @@
 	is.True(delivered > 0)
 }
 
-// TestStreamKeepsMessagesApart sends messages of all sizes in a row.
+// TestStreamKeepsMessagesApart guards against errors at the boundaries of messages: it sends
+// messages of growing sizes, below and above that of the compression dictionary.
 func TestStreamKeepsMessagesApart(t *testing.T) {
 	is := is.New(t)
 	var conn bufferConn
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 )
 
-// Decode returns the message of that method.
+// Decode decodes the body of a message of the given method.
 func Decode(method string, body []byte) (Message, error) {
 	switch method {
 	case MethodHello:
@@ -40,13 +40,13 @@
 	case MethodVouch:
 		return decodeAs[Vouch](body)
 	}
-	return nil, errors.Errorf("unknown method %q", method)
+	return nil, errors.Errorf("control message of unknown method %q", method)
 }
 
 func decodeAs[M Message](body []byte) (Message, error) {
 	var m M
 	if err := json.Unmarshal(body, &m); err != nil {
-		return nil, errors.Wrapf(err, "decode %s", m.Method())
+		return nil, errors.Wrapf(err, "decode control message %s", m.Method())
 	}
 	return m, nil
 }
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -1,6 +1,6 @@
 // Package wire defines the messages between daemons on control connections.
-// Each is a jsonrpc2 notification; answers are notifications too, so that a
-// lost or late one never blocks a connection.
+// Each message is a jsonrpc2 notification. Replies are notifications too, so that a
+// lost or delayed reply never blocks a connection.
 package wire
 
 import (
@@ -11,16 +11,16 @@
 	"github.com/comfreygate/comfreygate/internal/suspect"
 )
 
-// Upstream is what a daemon announces of an upstream on its VM.
+// Upstream describes an upstream that a daemon announces on its VM.
 type Upstream struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
-	// Version is that of the upstream's software, or "" if it was not told.
+	// Version is the version of the upstream's software, or "" if it is unknown.
 	Version string `json:"version,omitempty"`
-	// Slots is how many calls the upstream runs at once.
+	// Slots is how many calls the upstream runs concurrently.
 	Slots int `json:"slots"`
 	// Since is when the upstream announced itself, in Unix milliseconds of
-	// its daemon's clock. It only steers the ramp.
+	// its daemon's clock. It is used only to ramp up the upstream's share of calls.
 	Since    int64 `json:"since"`
 	Draining bool  `json:"draining,omitempty"`
 }
@@ -31,21 +31,21 @@
 	ID     string `json:"id"`
 	Domain string `json:"domain"`
 	Region string `json:"region,omitempty"`
-	// Peer, Owner and Admin are the addresses of its listeners.
+	// Peer, Owner and Admin are the addresses of the daemon's listeners.
 	Peer  string `json:"peer"`
 	Owner string `json:"owner"`
 	Admin string `json:"admin"`
-	// LinkMbps is the width of its VM's link, in Mbit/s; zero: not known, or
-	// without a bound that matters.
+	// LinkMbps is the bandwidth of the VM's network link, in Mbit/s. Zero: unknown, or
+	// high enough not to matter.
 	LinkMbps float64 `json:"link,omitempty"`
-	// Incarnation grows with every start of the daemon.
+	// Incarnation increases with every start of the daemon.
 	Incarnation uint64     `json:"inc"`
 	Seq         uint64     `json:"seq"`
 	Leaving     bool       `json:"leaving,omitempty"`
 	Upstreams   []Upstream `json:"upstreams,omitempty"`
 	Beat        Beat       `json:"beat"`
-	// AgeMs is how long ago the sender heard from the member, so that a
-	// copy passed on does not look fresh.
+	// AgeMs is how long ago the sender last heard from the member. It keeps a
+	// forwarded copy from looking fresh.
 	AgeMs int64 `json:"age,omitempty"`
 }
 
@@ -57,43 +57,48 @@
 	return m.Seq > o.Seq
 }
 
-// Beat renews a member's lease and reports the version it has in force.
+// Beat is a member's heartbeat: it keeps the member's record from lapsing and reports
+// the configuration version that the member has in force.
 type Beat struct {
 	N       uint64 `json:"n"`
 	Applied uint64 `json:"v"`
 }
 
-// BeatOf is a beat on its way through the tree.
+// BeatOf is the heartbeat of a named member, as it is forwarded along the distribution
+// tree.
 type BeatOf struct {
 	ID          string `json:"i"`
 	Incarnation uint64 `json:"c"`
 	Beat
 }
 
-// Hello opens a connection, from both ends.
+// Hello is the first message that each end sends on a connection.
 type Hello struct {
 	ID          string `json:"id"`
 	Domain      string `json:"domain"`
 	Incarnation uint64 `json:"inc"`
-	// Probe marks a short connection that only compares states.
+	// Probe marks a short-lived connection that is used only to compare states.
 	Probe bool `json:"probe,omitempty"`
-	// Floor is the highest version that the sender saw the receiver apply.
+	// Floor is the highest configuration version that the sender saw the receiver
+	// apply. A restarted receiver must not serve an older one.
 	Floor uint64 `json:"floor,omitempty"`
 	// Suspects is the hash of the sender's table of suspects, in hexadecimal digits. "":
-	// the sender is of a release that does not take the message.
+	// the sender runs a release that does not accept Suspects messages.
 	Suspects string `json:"suspects,omitempty"`
-	// Rollouts is the same of the sender's roll-outs.
+	// Rollouts is the hash of the sender's rollouts. "": the sender does not accept
+	// Rollouts messages.
 	Rollouts string `json:"rollouts,omitempty"`
-	// Vouches says that the sender takes the message.
+	// Vouches is set if the sender accepts Vouch messages.
 	Vouches bool `json:"vouches,omitempty"`
 	Ping    Ping `json:"ping"`
 }
 
-// Ping is the heartbeat of a connection and says what the sender holds.
+// Ping is the heartbeat of a connection. It identifies the configuration and the
+// members that the sender holds.
 type Ping struct {
 	Seq uint64 `json:"seq"`
-	// Echo is the highest Seq received from the other end. A connection on
-	// which it stops growing is silent in one direction.
+	// Echo is the highest Seq received from the other end. If it stops increasing,
+	// the connection has failed in one direction.
 	Echo     uint64 `json:"echo"`
 	Version  uint64 `json:"v"`
 	Base     uint64 `json:"b,omitempty"`
@@ -103,40 +108,43 @@
 	Members uint64 `json:"m"`
 }
 
-// Members carries member records and beats.
+// Members carries member records and heartbeats.
 type Members struct {
 	Full  []Member `json:"full,omitempty"`
 	Beats []BeatOf `json:"beats,omitempty"`
 }
 
-// MembersPull asks for the members of the buckets whose digest differs.
+// MembersPull requests the members in those buckets whose digest differs between the
+// two ends.
 type MembersPull struct {
+	// Buckets holds the sender's digest of each bucket.
 	Buckets []uint64 `json:"buckets"`
-	// Brief asks for a MembersBrief in place of whole records.
+	// Brief requests a MembersBrief instead of whole records.
 	Brief bool `json:"brief,omitempty"`
 }
 
-// MembersBrief names the members of the buckets that differ: who lacks some asks for them.
+// MembersBrief lists the digests of the members in the buckets that differ. The receiver
+// requests the records that it lacks with MembersWant.
 type MembersBrief struct {
-	// Digests are eight bytes each, the lowest first.
+	// Digests is a sequence of little-endian 8-byte digests in ascending order.
 	Digests []byte `json:"digests"`
 }
 
-// MembersWant asks for the records behind some digests of a MembersBrief.
+// MembersWant requests the records of some of the digests in a MembersBrief.
 type MembersWant struct {
 	Digests []byte `json:"digests"`
 }
 
-// Pull asks for the records from a position on.
+// Pull requests the configuration records from a position on.
 type Pull struct {
 	Base     uint64 `json:"b,omitempty"`
 	Position uint64 `json:"p"`
-	// Full asks for a snapshot even if the records would do.
+	// Full requests a snapshot even if the records would be enough.
 	Full bool `json:"full,omitempty"`
 }
 
-// Records carries consecutive records of the configuration stream and what
-// the sender held after the last of them.
+// Records carries consecutive records of the configuration stream. Version and Hash
+// are those of the sender's state after the last record.
 type Records struct {
 	Base    uint64   `json:"b,omitempty"`
 	From    uint64   `json:"from"`
@@ -145,74 +153,80 @@
 	Hash    string   `json:"h"`
 }
 
-// Delta carries what leads from one document to a later one.
+// Delta carries the difference between a configuration document and a later one.
 type Delta struct {
 	From    uint64 `json:"from"`
 	Version uint64 `json:"v"`
-	// Hash is what the sender holds at Version.
+	// Hash is the hash of the sender's state at Version.
 	Hash  string       `json:"h"`
 	Delta config.Delta `json:"delta"`
 }
 
-// Snapshot carries a whole state.
+// Snapshot carries a complete configuration state.
 type Snapshot struct {
 	State json.RawMessage `json:"state"`
 }
 
-// Suspects carries what is known of requests under which upstreams have ended.
+// Suspects carries records of suspects, that is, requests that were running at upstreams
+// when these crashed.
 type Suspects struct {
 	Records []suspect.Record `json:"records"`
 }
 
-// Rollouts carries what is agreed of roll-outs.
+// Rollouts carries the states of rollouts.
 type Rollouts struct {
 	States []RolloutState `json:"states"`
 }
 
-// RolloutState is a roll-out as its sender knows it.
+// RolloutState is the state of a rollout as the sender knows it.
 type RolloutState struct {
 	rollout.Record
-	// AgeMs is how long ago the order was given, PhaseAgeMs how long ago its phase began.
+	// AgeMs is the time since the order was given, PhaseAgeMs the time since the
+	// current phase began.
 	AgeMs      int64 `json:"age"`
 	PhaseAgeMs int64 `json:"phase_age"`
-	// Stop says why the new version gets no calls any more, before that is agreed.
+	// Stop is why the new version gets no more calls. It is set before the store
+	// records the rollout as reverted.
 	Stop string `json:"stop,omitempty"`
 }
 
-// Tally carries what daemons have seen of a service's calls during a roll-out.
+// Tally carries the results of a service's calls during a rollout, as counted by
+// several daemons.
 type Tally struct {
 	Service string `json:"service"`
-	// Order is the ID of the order.
+	// Order is the ID of the rollout order.
 	Order uint64 `json:"order"`
-	// Domain is the failure domain whose daemons these are all, or "": they are the
-	// sender and those that it passes things on to.
+	// Domain is the failure domain whose daemons are all included. "": the counts are
+	// those of the sender and of the daemons below it in the distribution tree.
 	Domain string `json:"domain,omitempty"`
-	// By is the daemon that has added them up for its failure domain.
+	// By is the daemon that added up the counts of its failure domain.
 	By   string        `json:"by,omitempty"`
 	Rows []rollout.Row `json:"rows"`
 }
 
-// Vouch says how long ago what the sender holds was the newest configuration for sure.
+// Vouch confirms the freshness of a configuration: it says how long ago the sender's
+// configuration was known to be the newest.
 type Vouch struct {
 	Base     uint64 `json:"b,omitempty"`
 	Position uint64 `json:"p"`
-	// Echo is the highest Ping.Seq that the sender had received when it was so old.
+	// Echo is the highest Ping.Seq that the sender had received when it computed
+	// AgeUs. With it the receiver dates the confirmation by its own clock.
 	Echo uint64 `json:"echo"`
-	// AgeUs is in microseconds.
+	// AgeUs is the age in microseconds.
 	AgeUs int64 `json:"age"`
 }
 
-// Busy refuses a pull or a connection and says when to come back.
+// Busy refuses a pull or a connection and says when to retry.
 type Busy struct {
 	RetryAfterMs int64 `json:"retry_after_ms"`
-	// Peers are addresses of other daemons to try instead.
+	// Peers holds addresses of other daemons to try instead.
 	Peers []string `json:"peers,omitempty"`
 }
 
 // Message is any of the types above.
 type Message interface{ Method() string }
 
-// Method names, as sent.
+// Method names as sent on the wire.
 const (
 	MethodHello        = "hello"
 	MethodPing         = "ping"
@@ -276,7 +290,7 @@
 // Method implements Message.
 func (Vouch) Method() string { return MethodVouch }
 
-// Envelope is a message with the sender's clock.
+// Envelope wraps a message together with the reading of the sender's logical clock.
 type Envelope struct {
 	Clock int64           `json:"clock"`
 	Body  json.RawMessage `json:"body"`
