--- a/internal/system/converge_test.go
+++ b/internal/system/converge_test.go
@@ -12,7 +12,7 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// publish appends a command to the log, as a daemon would.
+// publish appends a command in the configuration language to the log, as a daemon would.
 func (n *testNet) publish(id, text string) {
 	st, err := lang.Parse(text)
 	if err != nil {
@@ -25,11 +25,11 @@
 	_, _ = n.log.Append(context.Background(), store.ConfigTopic, data)
 }
 
-// converge heals everything and demands that all daemons hold the newest
-// state and know each other within the time.
+// converge ends all faults, starts all stopped daemons, and fails unless all daemons hold
+// the newest state and know each other within the given time.
 func (n *testNet) converge(within time.Duration) {
-	n.apart = map[string]bool{}
-	n.noLog = map[string]bool{}
+	n.partitions = map[string]bool{}
+	n.storeUnreachable = map[string]bool{}
 	n.log.SetFaults(devlog.Faults{})
 	for _, node := range n.nodes {
 		if !node.alive {
@@ -43,9 +43,10 @@
 			return
 		}
 	}
-	n.fatalf("not converged: %s", problem)
+	n.fatalf("daemons did not converge: %s", problem)
 }
 
+// unconverged returns why the daemons have not converged, or "" if they have.
 func (n *testNet) unconverged() string {
 	batch, err := n.log.Read(context.Background(), store.Query{Topic: store.ConfigTopic})
 	if err != nil {
@@ -55,19 +56,20 @@
 		w := node.w
 		switch {
 		case w.Config.State.Position != batch.End:
-			return fmt.Sprintf("%s is at %d of %d, alarms %v", node.id, w.Config.State.Position, batch.End, w.Alarms)
+			return fmt.Sprintf("%s holds position %d of %d, alarms %v", node.id, w.Config.State.Position, batch.End, w.Alarms)
 		case !w.Ready || w.Self.Beat.Applied != w.Config.State.Version:
-			return node.id + " is not ready"
+			return node.id + " is not ready, or serves an older version than it holds"
 		}
 		for _, other := range n.nodes {
 			if row := w.Members[other.id]; other != node && (row == nil || row.Lapsed) {
-				return node.id + " does not know " + other.id
+				return node.id + " has no live record of " + other.id
 			}
 		}
 	}
 	return ""
 }
 
-func tNet(t *testing.T, domains, perDomain int) *testNet {
+// newTestNetFor returns a network of running daemons, which reports failures to t.
+func newTestNetFor(t *testing.T, domains, perDomain int) *testNet {
 	return newTestNet(func(f string, args ...any) { t.Helper(); t.Fatalf(f, args...) }, domains, perDomain)
 }
--- a/internal/system/document_test.go
+++ b/internal/system/document_test.go
@@ -15,8 +15,8 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// documentOf returns a document with that many routes, whose policy's timeout
-// depends on the version.
+// documentOf returns a document with the given number of routes. The timeout of its policy
+// is as many seconds as the version.
 func documentOf(version uint64, routes int) config.Document {
 	c := config.NewContent()
 	c.Services["s"] = config.Service{Name: "s"}
@@ -28,13 +28,14 @@
 	return config.Document{Version: version, Content: c}
 }
 
+// documentWorld returns the tables of a daemon that reads configuration documents.
 func documentWorld() *table.World {
 	p := testParams()
 	p.Documents = true
 	return table.New(wire.Member{ID: "vm", Domain: "d", Peer: "vm"}, p, noSuspects(), time.Unix(1000, 0), 1)
 }
 
-func TestDocumentsOnlyGoForward(t *testing.T) {
+func TestDocumentVersionsOnlyIncrease(t *testing.T) {
 	is := is.New(t)
 	w := documentWorld()
 	at := time.Unix(1001, 0)
@@ -44,16 +45,16 @@
 	bad := documentOf(9, 3)
 	delete(bad.Content.Policies, "p")
 	Tick(w, at, []Input{DocumentRead{Document: bad}})
-	is.Equal(w.Config.State.Version, uint64(5)) // refused whole
+	is.Equal(w.Config.State.Version, uint64(5)) // refused as a whole
 	is.True(w.Alarms[AlarmDocument] != "")
 	Tick(w, at, []Input{DocumentRead{Document: documentOf(11, 3)}})
 	is.Equal(w.Config.State.Version, uint64(11))
 	is.Equal(w.Alarms[AlarmDocument], "")
 }
 
-// TestUnusableDocumentRaisesItsAlarm lets a document arrive that cannot be
-// read: the store is up, the version held stays, the operator is told why.
-func TestUnusableDocumentRaisesItsAlarm(t *testing.T) {
+// TestUndecodableDocumentRaisesAlarm reads a document that cannot be decoded: the store must
+// count as up, the version held must stay in force, and the alarm must state the reason.
+func TestUndecodableDocumentRaisesAlarm(t *testing.T) {
 	is := is.New(t)
 	w := documentWorld()
 	at := time.Unix(1001, 0)
@@ -62,12 +63,12 @@
 	is.True(w.Log.Up)
 	is.Equal(w.Config.State.Version, uint64(5))
 	is.Equal(w.Alarms[AlarmDocument], "cut short")
-	is.True(w.Log.CaughtUp) // what peers hold may be served after a restart
+	is.True(w.Log.CaughtUp) // so a restarted daemon may serve what its peers hold
 }
 
-// TestDeltaLeadsToTheSameState sends the difference between two versions to a
-// daemon that holds the first, as a long storm of changes would, and to one
-// that holds another.
+// TestDeltaLeadsToTheSameState sends the delta between two versions, as a daemon does in a
+// storm of changes. A daemon that holds the first version must arrive at the sender's state;
+// one that holds another version, or arrives at another hash, must not apply the delta.
 func TestDeltaLeadsToTheSameState(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1001, 0)
@@ -83,46 +84,47 @@
 	receiveDelta(receiver, at, l, d, &out)
 	is.Equal(receiver.Config.State.Hash, sender.Config.State.Hash)
 
-	stranger := documentWorld()
-	Tick(stranger, at, []Input{DocumentRead{Document: documentOf(6, 2)}})
-	receiveDelta(stranger, at, l, d, &out)
-	is.Equal(stranger.Config.State.Version, uint64(6)) // starts elsewhere: not applied
+	unrelated := documentWorld()
+	Tick(unrelated, at, []Input{DocumentRead{Document: documentOf(6, 2)}})
+	receiveDelta(unrelated, at, l, d, &out)
+	is.Equal(unrelated.Config.State.Version, uint64(6)) // other start version: not applied
 	d.Hash = "other"
-	second := documentWorld()
-	Tick(second, at, []Input{DocumentRead{Document: documentOf(5, 30)}})
-	receiveDelta(second, at, l, d, &out)
-	is.Equal(second.Config.State.Version, uint64(5)) // leads elsewhere: not applied
+	mismatched := documentWorld()
+	Tick(mismatched, at, []Input{DocumentRead{Document: documentOf(5, 30)}})
+	receiveDelta(mismatched, at, l, d, &out)
+	is.Equal(mismatched.Config.State.Version, uint64(5)) // other resulting hash: not applied
 }
 
-// TestLateAnnouncementsChangeNothing covers an upstream that leaves, ends, or
-// is displaced at its address, and whose earlier announcements arrive after.
+// TestLateAnnouncementsChangeNothing guards against upstreams that get calls again after
+// they left: announcements that were delayed arrive after the upstream began to drain, was
+// removed, or was displaced by another process at its address.
 func TestLateAnnouncementsChangeNothing(t *testing.T) {
 	is := is.New(t)
 	w := documentWorld()
 	at := time.Unix(1001, 0)
-	say := func(id string, sequence uint64, draining bool) {
+	announceTo := func(id string, sequence uint64, draining bool) {
 		Tick(w, at, []Input{Announced{Local: table.Local{
 			Upstream: wire.Upstream{ID: id, Service: "s", Slots: 4, Draining: draining},
 			Name:     id, Life: id, Process: id, Addr: "a:1", Sequence: sequence,
 		}}})
 	}
-	say("one", 4, false)
-	say("one", 6, true)
-	say("one", 5, false)
+	announceTo("one", 4, false)
+	announceTo("one", 6, true)
+	announceTo("one", 5, false)
 	is.True(w.Locals["one"].Draining)
-	say("two", 1, false) // a new process at the address
+	announceTo("two", 1, false) // a new process at the address
 	is.Equal(w.Locals["one"], nil)
-	say("one", 7, false)
+	announceTo("one", 7, false)
 	is.Equal(len(w.Locals), 1)
 	Tick(w, at, []Input{Removed{Name: "two"}})
-	say("two", 2, false)
+	announceTo("two", 2, false)
 	is.Equal(len(w.Locals), 0)
 }
 
-// TestDaemonAtAReusedAddressDisplaces starts a new VM at the address of one
-// that died silently. Calls to the dead one's upstream would reach the new
-// daemon and be refused until the lapse, which is minutes away.
-func TestDaemonAtAReusedAddressDisplaces(t *testing.T) {
+// TestDaemonAtReusedAddressDisplaces starts a daemon at the address of one that stopped
+// without notice. If the old member did not lapse at once, calls to its upstreams would
+// reach the new daemon and be refused until the old member lapses minutes later.
+func TestDaemonAtReusedAddressDisplaces(t *testing.T) {
 	is := is.New(t)
 	w := documentWorld()
 	at := time.Unix(1001, 0)
@@ -137,7 +139,7 @@
 	is.True(w.Members["old"].Lapsed)
 	is.True(!w.Members["new"].Lapsed)
 	is.True(!w.Members["other"].Lapsed)
-	old.Beat.N = 9 // a late renewal does not bring it back
+	old.Beat.N = 9 // a delayed heartbeat does not revive it
 	old.Seq = 2
 	mergeMembers(w, at, 0, wire.Members{Full: []wire.Member{old}}, &out)
 	is.True(w.Members["old"].Lapsed)
@@ -145,32 +147,32 @@
 	is.True(w.Members["old"].Lapsed)
 }
 
-// TestMemberThatMovedIsNotDisplaced starts a daemon at the address that another one had
-// before it moved: nobody has lost anything.
+// TestMemberThatMovedIsNotDisplaced starts a daemon at the former address of a member that
+// has moved to another address: that member must not lapse.
 func TestMemberThatMovedIsNotDisplaced(t *testing.T) {
 	is := is.New(t)
 	w := documentWorld()
 	at := time.Unix(1001, 0)
 	w.Links[1] = &table.Link{ID: 1, Peer: "p", HeardAt: at, EchoAt: at}
-	tell := func(id, owner string, incarnation uint64) {
+	receiveRecord := func(id, owner string, incarnation uint64) {
 		rec := wire.Member{ID: id, Domain: "d", Peer: owner, Owner: owner, Incarnation: incarnation, Seq: 1}
 		Tick(w, at, []Input{Received{Link: 1, Message: wire.Members{Full: []wire.Member{rec}}}})
 	}
-	tell("a", "x:1", 10)
-	tell("a", "y:1", 20)
-	tell("b", "x:1", 30)
+	receiveRecord("a", "x:1", 10)
+	receiveRecord("a", "y:1", 20)
+	receiveRecord("b", "x:1", 30)
 	is.True(!w.Members["a"].Lapsed)
 	is.True(!w.Members["b"].Lapsed)
-	tell("c", "y:1", 40)
-	is.True(w.Members["a"].Lapsed) // another one has its address now
+	receiveRecord("c", "y:1", 40)
+	is.True(w.Members["a"].Lapsed) // another daemon has its address now
 }
 
-// TestEachDocumentReadIsTold guards against documents that are read and leave no trace: what
-// became of each is an event of its own, with its version.
-func TestEachDocumentReadIsTold(t *testing.T) {
+// TestEachDocumentReadIsLogged guards against documents that are read without a trace: each
+// read must give an event with the document's version and what became of it.
+func TestEachDocumentReadIsLogged(t *testing.T) {
 	is := is.New(t)
 	w := documentWorld()
-	told := func(r DocumentRead) []event.Event {
+	documentEvents := func(r DocumentRead) []event.Event {
 		var list []event.Event
 		for _, e := range Tick(w, time.Unix(1001, 0), []Input{r}).Events {
 			if e.Kind == event.DocumentRead || e.Kind == event.DocumentRefused {
@@ -180,22 +182,23 @@
 		}
 		return list
 	}
-	is.Equal(told(DocumentRead{Document: documentOf(5, 3)}), []event.Event{
+	is.Equal(documentEvents(DocumentRead{Document: documentOf(5, 3)}), []event.Event{
 		{Kind: event.DocumentRead, Version: 5, Detail: "takes the place of version 0, 3 routes"},
 	})
-	is.Equal(told(DocumentRead{Document: documentOf(4, 3)}), []event.Event{
+	is.Equal(documentEvents(DocumentRead{Document: documentOf(4, 3)}), []event.Event{
 		{Kind: event.DocumentRead, Version: 4, Detail: "no later than version 5, which is held"},
 	})
-	is.Equal(told(DocumentRead{Err: &config.InvalidError{Err: errors.New("cut short")}}), []event.Event{
+	is.Equal(documentEvents(DocumentRead{Err: &config.InvalidError{Err: errors.New("cut short")}}), []event.Event{
 		{Kind: event.DocumentRefused, Detail: "version 5 stays: cut short"},
 	})
-	is.Equal(told(DocumentRead{}), nil) // nothing was read
+	is.Equal(documentEvents(DocumentRead{}), nil) // nothing was read
 	is.Equal(w.Config.Since, time.Unix(1001, 0))
 }
 
-// TestFlawsAreToldWithTheVersionThatHasThem guards against alarms that outlive their cause:
-// a daemon may read a version that others have already told it of.
-func TestFlawsAreToldWithTheVersionThatHasThem(t *testing.T) {
+// TestAlarmsClearIfVersionCameFromPeer guards against alarms that outlive their cause: a
+// daemon may read a version from the store that it has already received from a peer. The
+// alarms of the version before must be cleared then as well.
+func TestAlarmsClearIfVersionCameFromPeer(t *testing.T) {
 	is := is.New(t)
 	w, other := documentWorld(), documentWorld()
 	at := time.Unix(1001, 0)
@@ -212,7 +215,7 @@
 
 	Tick(other, at, []Input{DocumentRead{Document: documentOf(9, 3)}})
 	var out Outbox
-	is.True(adopt(w, at, other.Config.State, &out)) // told by a peer
+	is.True(adopt(w, at, other.Config.State, &out)) // received from a peer
 	Tick(w, at, []Input{DocumentRead{Document: documentOf(9, 3)}})
 	is.Equal(w.Alarms[AlarmFlaws], "")
 	is.Equal(w.Alarms[AlarmDocument], "")
--- a/internal/system/documents_test.go
+++ b/internal/system/documents_test.go
@@ -11,15 +11,16 @@
 	"github.com/comfreygate/comfreygate/internal/table"
 )
 
-// documentStore holds the configurations that an operator has accepted, and the reads of
-// daemons that wait for a later one.
+// documentStore simulates the store of configuration documents: the documents accepted so
+// far, and the long-poll reads of the daemons.
 type documentStore struct {
 	accepted []acceptedDocument
 	reads    map[*testNode]*documentRead
-	// deaf is set while the store does not wake those who wait.
-	deaf bool
-	// disturbed is when the store was last out of order for anybody.
-	disturbed time.Time
+	// noWakeups is set while the store does not answer waiting reads when it accepts a
+	// document.
+	noWakeups bool
+	// lastDisturbed is when the store last failed to serve any daemon.
+	lastDisturbed time.Time
 }
 
 type acceptedDocument struct {
@@ -27,67 +28,71 @@
 	doc func() config.Document
 }
 
-// documentRead is a daemon's place in the store, and its read, if one waits.
+// documentRead is the state of a daemon's reads, of which at most one runs at a time.
 type documentRead struct {
-	life  int
-	from  int
-	began time.Time
-	asked time.Duration
-	// asleep is set if the store has failed to wake it.
-	asleep bool
-	// after is when the next read may begin.
-	after time.Time
+	incarnation int
+	// delivered is how many documents were accepted when the daemon last got one.
+	delivered int
+	// started is when the running read began, or zero; startedBoot is the boot time then.
+	started     time.Time
+	startedBoot time.Duration
+	// missedWakeup is set if a document was accepted without waking the running read.
+	missedWakeup bool
+	// notBefore is when the next read may begin.
+	notBefore time.Time
 }
 
 const (
-	// readTimeout and readPause are how daemons bear with a store that does not answer.
-	readTimeout = 2 * time.Second
-	readPause   = 500 * time.Millisecond
+	// readTimeout is when a read from an unreachable store fails, readRetryDelay the
+	// pause after it.
+	readTimeout    = 2 * time.Second
+	readRetryDelay = 500 * time.Millisecond
 )
 
-// serve begins a read for a daemon that wants one, and answers one that is due.
+// serve starts a read if the daemon wants one, and answers a running read that is due.
 func (s *documentStore) serve(n *testNet, node *testNode, out Outbox) {
 	r := s.reads[node]
-	if r == nil || r.life != node.lives {
-		r = &documentRead{life: node.lives}
+	if r == nil || r.incarnation != node.incarnation {
+		r = &documentRead{incarnation: node.incarnation}
 		s.reads[node] = r
 	}
-	if r.began.IsZero() {
-		if out.ReadLog && !n.now.Before(r.after) {
-			r.began, r.asked = n.now, n.boot(node)
+	if r.started.IsZero() {
+		if out.ReadLog && !n.now.Before(r.notBefore) {
+			r.started, r.startedBoot = n.now, n.bootTime(node)
 		}
 		return
 	}
-	waited := n.now.Sub(r.began)
-	answer := DocumentRead{Asked: r.asked}
+	waited := n.now.Sub(r.started)
+	answer := DocumentRead{Asked: r.startedBoot}
 	switch {
-	case n.noLog[node.domain]:
+	case n.storeUnreachable[node.domain]:
 		if waited < readTimeout {
 			return
 		}
-		answer.Err = errors.New("no answer")
-		r.after = n.now.Add(readPause)
-	case r.from < len(s.accepted) && (!r.asleep || waited >= out.ReadWait):
-		r.from = len(s.accepted)
-		answer.Document = s.accepted[r.from-1].doc()
+		answer.Err = errors.New("store did not answer")
+		r.notBefore = n.now.Add(readRetryDelay)
+	case r.delivered < len(s.accepted) && (!r.missedWakeup || waited >= out.ReadWait):
+		r.delivered = len(s.accepted)
+		answer.Document = s.accepted[r.delivered-1].doc()
 	case waited < out.ReadWait:
 		return
 	}
-	r.began, r.asleep = time.Time{}, false
+	r.started, r.missedWakeup = time.Time{}, false
 	node.inputs = append(node.inputs, answer)
 }
 
-// documentNet drives histories in which configurations come as whole documents.
+// documentNet is a testNet whose daemons read whole configuration documents, with a check
+// that each accepted version is in force in time.
 type documentNet struct {
 	*testNet
-	// disturbed is when a daemon itself was last out of touch.
-	disturbed map[*testNode]time.Time
+	// lastDisturbed is when each daemon was last stopped, paused or partitioned.
+	lastDisturbed map[*testNode]time.Time
 }
 
 func newDocumentNet(fatalf func(string, ...any), domains, perDomain int) *documentNet {
-	d := &documentNet{testNet: newTestNet(fatalf, domains, perDomain), disturbed: map[*testNode]time.Time{}}
+	d := &documentNet{testNet: newTestNet(fatalf, domains, perDomain), lastDisturbed: map[*testNode]time.Time{}}
 	d.documents = &documentStore{reads: map[*testNode]*documentRead{}}
-	d.params = func(p *table.Params) {
+	d.adjustParams = func(p *table.Params) {
 		inForce, seeds := p.InForce, p.Seeds
 		*p = table.DefaultParams()
 		p.Documents, p.InForce, p.Seeds = true, inForce, seeds
@@ -99,13 +104,13 @@
 	return d
 }
 
-// accept lets the store accept a version. Odd ones have a route whose share has no weight,
-// and one that names a service that is not listed.
-func (d *documentNet) accept(odd bool) {
+// accept adds a version to the store. A flawed one has a route with two shares: the one with
+// all the weight, and one of weight 0 for a service that is not listed.
+func (d *documentNet) accept(flawed bool) {
 	version := uint64(10 * (len(d.documents.accepted) + 1))
 	d.documents.accepted = append(d.documents.accepted, acceptedDocument{at: d.now, doc: func() config.Document {
 		doc := documentOf(version, 3+int(version/10)%5)
-		if odd {
+		if flawed {
 			doc.Content.Routes["odd"] = config.Route{
 				Name: "odd", Path: "/odd/", Policy: "p", Open: true,
 				Shares: []config.Share{{Service: "s", Weight: 100}, {Service: "not-listed", Weight: 0}},
@@ -114,13 +119,13 @@
 		return doc
 	}})
 	for _, r := range d.documents.reads {
-		r.asleep = r.asleep || d.documents.deaf
+		r.missedWakeup = r.missedWakeup || d.documents.noWakeups
 	}
 }
 
-// lose ends a daemon without a word to its peers, as a loss of power does.
-func (d *documentNet) lose(node *testNode) {
-	node.alive, node.lost = false, true
+// powerOff stops a daemon as a loss of power does: its peers are not notified.
+func (d *documentNet) powerOff(node *testNode) {
+	node.alive, node.powerLost = false, true
 	for _, p := range d.pipes {
 		if p.a == node || p.b == node {
 			p.closed = true
@@ -128,21 +133,22 @@
 	}
 }
 
-// touch is for how long a daemon and the store must have been left alone before bounds hold.
-const touch = 3 * time.Second
+// settleTime is how long after the last disturbance of a daemon or of the store the bound
+// on versions begins to apply.
+const settleTime = 3 * time.Second
 
-// pass lets time pass and checks at every step that each version is in force in time at each
-// daemon in touch.
-func (d *documentNet) pass(length time.Duration) {
+// runAndCheck advances the time and checks at each tick that every undisturbed daemon has each
+// accepted version in force within Params.InForce.
+func (d *documentNet) runAndCheck(length time.Duration) {
 	for end := d.now.Add(length); d.now.Before(end); {
-		d.run(step)
+		d.run(tickInterval)
 		for _, node := range d.nodes {
-			if !node.alive || node.paused || d.noLog[node.domain] || d.cutOff(node) {
-				d.disturbed[node] = d.now
+			if !node.alive || node.paused || d.storeUnreachable[node.domain] || d.partitionedFromAny(node) {
+				d.lastDisturbed[node] = d.now
 			}
 		}
-		if d.documents.deaf || len(d.noLog) > 0 {
-			d.documents.disturbed = d.now
+		if d.documents.noWakeups || len(d.storeUnreachable) > 0 {
+			d.documents.lastDisturbed = d.now
 		}
 		for _, node := range d.nodes {
 			d.checkInForce(node)
@@ -150,46 +156,49 @@
 	}
 }
 
-func (d *documentNet) cutOff(node *testNode) bool {
+// partitionedFromAny reports whether a daemon cannot reach some other daemon.
+func (d *documentNet) partitionedFromAny(node *testNode) bool {
 	for _, other := range d.nodes {
-		if d.cut(node, other) {
+		if d.isPartitioned(node, other) {
 			return true
 		}
 	}
 	return false
 }
 
+// checkInForce checks that a daemon holds every version whose bound has passed.
 func (d *documentNet) checkInForce(node *testNode) {
-	calm := node.w.Started
-	for _, at := range []time.Time{d.disturbed[node], d.documents.disturbed} {
-		if at.After(calm) {
-			calm = at
+	steadySince := node.w.Started
+	for _, at := range []time.Time{d.lastDisturbed[node], d.documents.lastDisturbed} {
+		if at.After(steadySince) {
+			steadySince = at
 		}
 	}
-	calm = calm.Add(touch)
-	if d.now.Before(calm) {
+	steadySince = steadySince.Add(settleTime)
+	if d.now.Before(steadySince) {
 		return
 	}
 	for i, a := range d.documents.accepted {
 		due := a.at
-		if calm.After(due) {
-			due = calm
+		if steadySince.After(due) {
+			due = steadySince
 		}
 		if held := node.w.Config.State.Version; held < uint64(10*(i+1)) && d.now.Sub(due) > node.w.Params.InForce {
-			d.fatalf("%s holds version %d, %v after version %d was accepted (alarms %v, root %v, parent %q)",
+			d.fatalf("%s still holds version %d, %v after version %d was accepted (alarms %v, root %v, parent %q)",
 				node.id, held, d.now.Sub(a.at), 10*(i+1), node.w.Alarms, node.w.MembersTree.Root, node.w.MembersTree.Parent)
 		}
 	}
 }
 
-// TestDocumentsAreInForceUnderAnyHistory guards against versions that the store has accepted
-// and that stay out of force at daemons in touch: readers end, lose power, freeze and are cut
-// off, the store is away or wakes nobody, documents come in storms and are odd.
+// TestDocumentsAreInForceUnderAnyHistory guards against accepted versions that do not get in
+// force at reachable daemons. It generates histories in which readers crash, lose power, freeze
+// and are partitioned, the store is unreachable or does not wake waiting reads, and documents
+// come in quick succession and are flawed.
 func TestDocumentsAreInForceUnderAnyHistory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := newDocumentNet(rt.Fatalf, 3, rapid.IntRange(2, 8).Draw(rt, "daemons"))
 		d.accept(false)
-		d.pass(6 * time.Second)
+		d.runAndCheck(6 * time.Second)
 		for range rapid.IntRange(3, 25).Draw(rt, "ops") {
 			node := d.nodes[rapid.IntRange(0, len(d.nodes)-1).Draw(rt, "node")]
 			switch rapid.SampledFrom([]string{"accept", "accept", "odd", "storm", "kill", "lose", "blackout", "start", "pause", "wake", "cut", "heal", "store", "deaf", "calm"}).Draw(rt, "op") {
@@ -200,18 +209,18 @@
 			case "storm":
 				for range 8 {
 					d.accept(rapid.Bool().Draw(rt, "odd"))
-					d.pass(5 * step)
+					d.runAndCheck(5 * tickInterval)
 				}
 			case "kill":
 				if node.alive {
 					d.kill(node)
 				}
 			case "lose":
-				d.lose(node)
+				d.powerOff(node)
 			case "blackout":
 				for _, other := range d.nodes {
 					if other != node && other.domain == node.domain {
-						d.lose(other)
+						d.powerOff(other)
 					}
 				}
 			case "start":
@@ -223,19 +232,19 @@
 			case "wake":
 				node.paused = false
 			case "cut":
-				d.apart[pairKey(node, d.nodes[rapid.IntRange(0, len(d.nodes)-1).Draw(rt, "other")])] = true
+				d.partitions[domainPair(node, d.nodes[rapid.IntRange(0, len(d.nodes)-1).Draw(rt, "other")])] = true
 			case "heal":
-				d.apart = map[string]bool{}
+				d.partitions = map[string]bool{}
 			case "store":
-				d.noLog[node.domain] = true
+				d.storeUnreachable[node.domain] = true
 			case "deaf":
-				d.documents.deaf = true
+				d.documents.noWakeups = true
 			case "calm":
-				d.noLog, d.documents.deaf = map[string]bool{}, false
+				d.storeUnreachable, d.documents.noWakeups = map[string]bool{}, false
 			}
-			d.pass(time.Duration(rapid.IntRange(0, 60).Draw(rt, "wait")) * 5 * step)
+			d.runAndCheck(time.Duration(rapid.IntRange(0, 60).Draw(rt, "wait")) * 5 * tickInterval)
 		}
-		d.apart, d.noLog, d.documents.deaf = map[string]bool{}, map[string]bool{}, false
-		d.pass(2 * touch)
+		d.partitions, d.storeUnreachable, d.documents.noWakeups = map[string]bool{}, map[string]bool{}, false
+		d.runAndCheck(2 * settleTime)
 	})
 }
--- a/internal/system/link_test.go
+++ b/internal/system/link_test.go
@@ -9,10 +9,10 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// TestRefusedDaemonIsToldOthers lets a daemon that has all its connections
-// refuse one more: it names others, and who is refused dials one of those in
-// its next tick instead of waiting to be let in.
-func TestRefusedDaemonIsToldOthers(t *testing.T) {
+// TestRefusedDaemonDialsAnother opens a connection to a daemon that has reached its limit of
+// connections. The refusal must name other daemons, and the refused daemon must dial one of
+// them at its next tick instead of waiting to retry.
+func TestRefusedDaemonDialsAnother(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1001, 0)
 	full := documentWorld()
@@ -25,10 +25,10 @@
 	sent := Tick(full, at, []Input{Opened{Link: 7}}).Sends
 	is.Equal(len(sent), 1)
 	busy := sent[0].Message.(wire.Busy)
-	is.Equal(busy.Peers, []string{"b:1"}) // not one that leaves
+	is.Equal(busy.Peers, []string{"b:1"}) // not a leaving one
 
 	refused := documentWorld()
 	Tick(refused, at, []Input{Opened{Link: 1, Dialed: true, Addr: "full:1"}})
-	dials := Tick(refused, at.Add(step), []Input{Received{Link: 1, Message: busy}}).Dials
+	dials := Tick(refused, at.Add(tickInterval), []Input{Received{Link: 1, Message: busy}}).Dials
 	is.Equal(dials, []Dial{{Addr: "b:1"}})
 }
--- a/internal/system/lives_test.go
+++ b/internal/system/lives_test.go
@@ -11,8 +11,8 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// said is a heartbeat of a life under one name.
-func said(born int64, sequence uint64, draining bool) Announced {
+// announcement returns an announcement of the incarnation that began at born.
+func announcement(born int64, sequence uint64, draining bool) Announced {
 	id := "vm/up@" + time.UnixMilli(born).UTC().Format("150405.000")
 	return Announced{Local: table.Local{
 		Upstream: wire.Upstream{ID: id, Service: "s", Slots: 4, Draining: draining},
@@ -20,13 +20,14 @@
 	}}
 }
 
-// TestLaterLifeUnderOneName: an upstream that starts again under its name counts
-// from anew, and nothing that an earlier life said changes it.
-func TestLaterLifeUnderOneName(t *testing.T) {
+// TestLaterIncarnationReplacesEarlier restarts an upstream under the same name. The new
+// incarnation starts its sequence numbers again, and delayed announcements and removals of
+// earlier incarnations must not change its row.
+func TestLaterIncarnationReplacesEarlier(t *testing.T) {
 	is := is.New(t)
 	w := documentWorld()
 	at := time.Unix(1001, 0)
-	tell := func(in ...Input) *table.Local {
+	tick := func(in ...Input) *table.Local {
 		Tick(w, at, in)
 		is.True(len(w.Locals) <= 1)
 		for _, row := range w.Locals {
@@ -34,58 +35,59 @@
 		}
 		return nil
 	}
-	is.Equal(tell(said(1000, 90, true)).Born, int64(1000))
-	row := tell(said(2000, 1, false)) // its sequence is lower than the earlier life's
+	is.Equal(tick(announcement(1000, 90, true)).Born, int64(1000))
+	row := tick(announcement(2000, 1, false)) // its sequence is lower than that of the earlier incarnation
 	is.Equal(row.Born, int64(2000))
 	is.True(!row.Draining)
-	is.Equal(tell(said(1000, 91, true)).Born, int64(2000))                                      // late
-	is.Equal(tell(Removed{Name: "vm/up", Born: 1000}).Born, int64(2000))                        // late
-	is.Equal(tell(Removed{Name: "vm/up", Born: 2000}) == nil, true)                             // it ends
-	is.Equal(tell(said(2000, 2, false)) == nil, true)                                           // late
-	is.Equal(tell(said(3000, 1, false)).Born, int64(3000))                                      // within the time of late words
-	is.Equal(tell(Removed{Name: "vm/up"}) == nil, true)                                         // whichever is there
-	is.Equal(tell(Removed{Name: "vm/up"}) == nil, true)                                         // said twice: once more as it exits
-	is.Equal(tell(said(3000, 9, false)) == nil, true)                                           // late
-	is.Equal(tell(said(4000, 1, false)).Born, int64(4000))                                      // and another life
-	is.Equal(tell(said(4000, 3, true), said(4000, 2, false)).Draining, true)                    // overtaken
-	is.Equal(tell(said(1000, 100, false), said(2000, 5, false)).Born, int64(4000))              // late ones together
-	is.Equal(tell(Removed{Name: "vm/up", Born: 1000}, said(4000, 4, true)).Sequence, uint64(4)) // and a late end
+	is.Equal(tick(announcement(1000, 91, true)).Born, int64(2000))                                      // late
+	is.Equal(tick(Removed{Name: "vm/up", Born: 1000}).Born, int64(2000))                                // late
+	is.Equal(tick(Removed{Name: "vm/up", Born: 2000}) == nil, true)                                     // it stops
+	is.Equal(tick(announcement(2000, 2, false)) == nil, true)                                           // late
+	is.Equal(tick(announcement(3000, 1, false)).Born, int64(3000))                                      // while late announcements are still expected
+	is.Equal(tick(Removed{Name: "vm/up"}) == nil, true)                                                 // whichever incarnation is running
+	is.Equal(tick(Removed{Name: "vm/up"}) == nil, true)                                                 // removed twice: the second time as it exits
+	is.Equal(tick(announcement(3000, 9, false)) == nil, true)                                           // late
+	is.Equal(tick(announcement(4000, 1, false)).Born, int64(4000))                                      // another incarnation
+	is.Equal(tick(announcement(4000, 3, true), announcement(4000, 2, false)).Draining, true)            // reordered
+	is.Equal(tick(announcement(1000, 100, false), announcement(2000, 5, false)).Born, int64(4000))      // several late ones at once
+	is.Equal(tick(Removed{Name: "vm/up", Born: 1000}, announcement(4000, 4, true)).Sequence, uint64(4)) // a late removal
 }
 
-// TestLivesInAnyOrder: whatever was delayed, the row is of the latest life that
-// was heard of and has not ended, and says what that life said last.
-func TestLivesInAnyOrder(t *testing.T) {
+// TestIncarnationsInAnyOrder generates announcements and removals in any order. The row must
+// always hold the last announcement of the latest known incarnation, unless that one or a
+// later one was removed.
+func TestIncarnationsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := documentWorld()
 		at := time.Unix(1001, 0)
-		ended, last := int64(0), map[int64]uint64{}
+		removed, lastSequence := int64(0), map[int64]uint64{}
 		for range rapid.IntRange(1, 30).Draw(t, "words") {
 			born := 1000 * rapid.Int64Range(1, 4).Draw(t, "born")
 			if rapid.IntRange(0, 4).Draw(t, "end") == 0 {
 				Tick(w, at, []Input{Removed{Name: "vm/up", Born: born}})
-				ended = max(ended, born)
+				removed = max(removed, born)
 			} else {
 				n := rapid.Uint64Range(1, 9).Draw(t, "sequence")
-				Tick(w, at, []Input{said(born, n, false)})
-				last[born] = max(last[born], n)
+				Tick(w, at, []Input{announcement(born, n, false)})
+				lastSequence[born] = max(lastSequence[born], n)
 			}
 			newest := int64(0)
-			for b := range last {
+			for b := range lastSequence {
 				newest = max(newest, b)
 			}
-			if newest <= ended {
+			if newest <= removed {
 				if len(w.Locals) != 0 {
-					t.Fatalf("lives up to %d have ended, held: %v", ended, w.Locals)
+					t.Fatalf("incarnations up to %d were removed, but the table holds %v", removed, w.Locals)
 				}
 				continue
 			}
 			for _, row := range w.Locals {
-				if len(w.Locals) != 1 || row.Born != newest || row.Sequence != last[newest] {
-					t.Fatalf("newest %d, last said %d, held %+v", newest, last[newest], row)
+				if len(w.Locals) != 1 || row.Born != newest || row.Sequence != lastSequence[newest] {
+					t.Fatalf("newest incarnation %d, last sequence %d, but the table holds %+v", newest, lastSequence[newest], row)
 				}
 			}
 			if len(w.Locals) != 1 {
-				t.Fatalf("life %d is not held", newest)
+				t.Fatalf("incarnation %d is not in the table", newest)
 			}
 		}
 	})
--- a/internal/system/main_test.go
+++ b/internal/system/main_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// fixedSeed makes the generated histories the same in every run. A longer
-// search takes another: go test ./internal/system -rapid.seed=N -rapid.checks=N
+// fixedSeed makes the generated histories the same in every run. To search more of them,
+// use another seed: go test ./internal/system -rapid.seed=N -rapid.checks=N
 const fixedSeed = "20261202"
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	given := map[string]bool{}
-	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
-	if !given["rapid.seed"] {
+	isSet := map[string]bool{}
+	flag.Visit(func(f *flag.Flag) { isSet[f.Name] = true })
+	if !isSet["rapid.seed"] {
 		if err := flag.Set("rapid.seed", fixedSeed); err != nil {
 			panic(err)
 		}
--- a/internal/system/net_test.go
+++ b/internal/system/net_test.go
@@ -16,11 +16,11 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// step is the virtual time between ticks of a testNet.
-const step = 20 * time.Millisecond
+// tickInterval is the virtual time between ticks of a testNet.
+const tickInterval = 20 * time.Millisecond
 
-// testNet connects the tables of several daemons in virtual time, so that a
-// test can drive any history of losses, restarts and cuts.
+// testNet simulates a network of daemons in virtual time, so that a test can drive any
+// history of crashes, restarts, partitions and store outages.
 type testNet struct {
 	fatalf func(format string, args ...any)
 	now    time.Time
@@ -28,38 +28,43 @@
 	nodes  []*testNode
 	byAddr map[string]*testNode
 	pipes  []*pipe
-	// late are dials that will have failed, the first first.
-	late []failedDial
-	// ends finds a connection by either of its names.
-	ends   map[table.LinkID]*pipe
-	lastID table.LinkID
-	apart  map[string]bool
-	noLog  map[string]bool
-	// content is the hash held at each place of the log, by any daemon.
-	content map[string]string
-	// checkFloor is off in tests that restart a daemon out of reach of those
-	// who knew its version.
+	// pendingDialFailures are the dials that have yet to fail, in the order of their time.
+	pendingDialFailures []failedDial
+	// pipeByLink holds each connection under the link ID of either end.
+	pipeByLink map[table.LinkID]*pipe
+	lastID     table.LinkID
+	// partitions holds the pairs of failure domains that cannot reach each other, see
+	// domainPair; storeUnreachable the domains that cannot reach the store.
+	partitions       map[string]bool
+	storeUnreachable map[string]bool
+	// hashAt is the hash of the state that daemons held at each position of the log.
+	hashAt map[string]string
+	// checkFloor makes checkInvariants fail if a restarted daemon serves a version older
+	// than before. Tests that restart a daemon where it cannot reach those who know its
+	// version turn it off.
 	checkFloor bool
-	// store holds the records of quarantined requests; written counts the changes to it,
-	// kept those that a test has not made itself or set back.
-	store   map[suspect.Digest][]byte
-	written int
-	kept    int
-	// agreed are the phases of roll-outs that were agreed, told those that operators
-	// could read.
-	agreed, told []rollout.Record
-	// revoke is the bound on keys that were taken away, for daemons that start from now on.
-	revoke time.Duration
-	// lag returns how much longer than a step a message takes; nil: no longer.
-	lag func() time.Duration
-	// starting is set in tests that watch what a start costs.
-	starting *startWatch
-	// params changes those of daemons that start from now on, if it is set.
-	params func(*table.Params)
-	// documents is the store of configurations that come whole, where they do.
+	// quarantineStore is the store's topic of quarantined requests. quarantineVersion
+	// counts all writes to it, quarantineWrites those since a test last reset it.
+	quarantineStore   map[suspect.Digest][]byte
+	quarantineVersion int
+	quarantineWrites  int
+	// agreed are the rollout phases that the store accepted, published those that
+	// operators could read.
+	agreed, published []rollout.Record
+	// revocationBound is the time after which a revoked key must admit no calls. It
+	// applies to daemons that start from now on.
+	revocationBound time.Duration
+	// extraDelay returns the delay of a message beyond one tick interval; nil means none.
+	extraDelay func() time.Duration
+	// startup records the costs of a cold start, in tests that set it.
+	startup *startupCosts
+	// adjustParams, if set, changes the parameters of daemons that start from now on.
+	adjustParams func(*table.Params)
+	// documents is the store of configuration documents. If nil, daemons read the log.
 	documents *documentStore
-	// bytes counts what each daemon sent of suspects and roll-outs, if it is set.
-	bytes map[string]int
+	// sentBytes, if set, counts the bytes of the messages on suspects and rollouts that
+	// each daemon sent, by daemon ID.
+	sentBytes map[string]int
 }
 
 type testNode struct {
@@ -69,25 +74,28 @@
 	w          *table.World
 	alive      bool
 	inputs     []Input
-	lives      int
-	// highest is the highest version ever reported in force, over restarts.
-	highest uint64
-	// lost daemons have ended without a word, as by a loss of power.
-	lost bool
-	// paused daemons run no ticks; what comes for them waits.
+	// incarnation counts the starts of the daemon.
+	incarnation int
+	// highestApplied is the highest version ever in force, across restarts.
+	highestApplied uint64
+	// powerLost is set on daemons that stopped as by a loss of power: their connections
+	// are not closed, and dials to them get no answer.
+	powerLost bool
+	// paused daemons run no ticks. Their inputs are queued.
 	paused bool
-	// refreshed is set when the call path was to get a new view.
-	refreshed bool
-	// read names the last read of quarantined requests.
-	read string
+	// viewOutdated is set when a tick asked for a new view for the call path.
+	viewOutdated bool
+	// lastQuarantineRead identifies the incarnation and the version of the store's
+	// quarantine at the last read.
+	lastQuarantineRead string
 }
 
-// pipe is a connection; messages arrive in order, later.
+// pipe is a simulated connection. Messages arrive in order, after a delay.
 type pipe struct {
-	a, b     *testNode
-	ida, idb table.LinkID
-	queue    []delivery
-	closed   bool
+	a, b         *testNode
+	linkA, linkB table.LinkID
+	queue        []delivery
+	closed       bool
 }
 
 type delivery struct {
@@ -97,15 +105,15 @@
 	msg  wire.Message
 }
 
-// failedDial tells a daemon that nothing answers at an address.
+// failedDial is a dial to an address at which nothing answers.
 type failedDial struct {
 	at   time.Time
 	to   *testNode
 	addr string
 }
 
-// deadDial is how long it takes to find that nothing answers at an address.
-const deadDial = 2 * time.Second
+// dialTimeout is how long a dial takes to fail if nothing answers at the address.
+const dialTimeout = 2 * time.Second
 
 func testParams() table.Params {
 	p := table.DefaultParams()
@@ -122,11 +130,12 @@
 	return p
 }
 
+// newTestNet returns a network of running daemons, which reports failures to fatalf.
 func newTestNet(fatalf func(string, ...any), domains, perDomain int) *testNet {
 	n := &testNet{
 		fatalf: fatalf, now: time.Unix(1_700_000_000, 0), log: devlog.New(),
-		apart: map[string]bool{}, noLog: map[string]bool{}, content: map[string]string{}, checkFloor: true,
-		store: map[suspect.Digest][]byte{},
+		partitions: map[string]bool{}, storeUnreachable: map[string]bool{}, hashAt: map[string]string{}, checkFloor: true,
+		quarantineStore: map[suspect.Digest][]byte{},
 	}
 	for d := range domains {
 		for i := range perDomain {
@@ -143,51 +152,57 @@
 }
 
 func (n *testNet) start(node *testNode) {
-	node.lives++
-	node.alive, node.lost = true, false
+	node.incarnation++
+	node.alive, node.powerLost = true, false
 	node.inputs = nil
 	p := testParams()
-	p.Revoke = n.revoke
-	if n.params != nil {
-		n.params(&p)
+	p.Revoke = n.revocationBound
+	if n.adjustParams != nil {
+		n.adjustParams(&p)
 	}
 	p.Seeds = []string{n.nodes[0].id, n.nodes[len(n.nodes)-1].id}
 	self := wire.Member{
 		ID: node.id, Domain: node.domain, LinkMbps: node.linkMbps, Peer: node.id, Owner: node.id, Admin: node.id,
-		Incarnation: uint64(n.now.UnixNano()) + uint64(node.lives),
+		Incarnation: uint64(n.now.UnixNano()) + uint64(node.incarnation),
 	}
-	node.w = table.New(self, p, suspect.NewTable(func() time.Time { return n.now }), n.now, uint64(len(node.id)*1000+node.lives*31+node.index))
+	node.w = table.New(self, p, suspect.NewTable(func() time.Time { return n.now }), n.now, uint64(len(node.id)*1000+node.incarnation*31+node.index))
 }
 
-// kill ends a daemon at once; its peers notice a little later.
+// kill stops a daemon and closes its connections, so that its peers notice at their next
+// tick.
 func (n *testNet) kill(node *testNode) {
 	node.alive = false
 	for _, p := range n.pipes {
 		if !p.closed && (p.a == node || p.b == node) {
-			n.hangUp(p, node)
+			n.closePipe(p, node)
 		}
 	}
 }
 
-func (n *testNet) hangUp(p *pipe, by *testNode) {
+// closePipe closes a connection on behalf of one end and reports that to the other.
+func (n *testNet) closePipe(p *pipe, by *testNode) {
 	p.closed = true
-	other, link := p.b, p.idb
+	other, link := p.b, p.linkB
 	if by == p.b {
-		other, link = p.a, p.ida
+		other, link = p.a, p.linkA
 	}
-	if other.alive && !n.cut(p.a, p.b) {
+	if other.alive && !n.isPartitioned(p.a, p.b) {
 		other.inputs = append(other.inputs, Closed{Link: link, Reason: "test"})
 	}
 }
 
-func (n *testNet) cut(a, b *testNode) bool { return a.domain != b.domain && n.apart[pairKey(a, b)] }
+func (n *testNet) isPartitioned(a, b *testNode) bool {
+	return a.domain != b.domain && n.partitions[domainPair(a, b)]
+}
 
-func pairKey(a, b *testNode) string { return min(a.domain, b.domain) + "|" + max(a.domain, b.domain) }
+func domainPair(a, b *testNode) string {
+	return min(a.domain, b.domain) + "|" + max(a.domain, b.domain)
+}
 
-// run lets time pass and checks the promises at every step.
+// run advances the time and runs all daemons, which checks the invariants at each tick.
 func (n *testNet) run(d time.Duration) {
 	for end := n.now.Add(d); n.now.Before(end); {
-		n.now = n.now.Add(step)
+		n.now = n.now.Add(tickInterval)
 		n.deliver()
 		for _, node := range n.nodes {
 			if node.alive && !node.paused {
@@ -197,16 +212,17 @@
 	}
 }
 
-// boot returns the boot time of a daemon's VM, which is no other's.
-func (n *testNet) boot(node *testNode) time.Duration {
+// bootTime returns the boot time of a daemon's VM. It differs between all VMs.
+func (n *testNet) bootTime(node *testNode) time.Duration {
 	return n.now.Sub(time.Unix(1_699_990_000, 0)) + time.Duration(node.index)*time.Hour
 }
 
-// arrival returns when a message sent now arrives over a pipe, in order.
-func (n *testNet) arrival(p *pipe) time.Time {
-	at := n.now.Add(step)
-	if n.lag != nil {
-		at = at.Add(n.lag())
+// arrivalTime returns when a message sent now arrives: never before the messages that
+// were sent on the connection earlier.
+func (n *testNet) arrivalTime(p *pipe) time.Time {
+	at := n.now.Add(tickInterval)
+	if n.extraDelay != nil {
+		at = at.Add(n.extraDelay())
 	}
 	if len(p.queue) > 0 && p.queue[len(p.queue)-1].at.After(at) {
 		return p.queue[len(p.queue)-1].at
@@ -219,33 +235,33 @@
 		for len(p.queue) > 0 && !p.queue[0].at.After(n.now) {
 			m := p.queue[0]
 			p.queue = p.queue[1:]
-			if !p.closed && m.to.alive && !n.cut(p.a, p.b) {
+			if !p.closed && m.to.alive && !n.isPartitioned(p.a, p.b) {
 				m.to.inputs = append(m.to.inputs, Received{Link: m.link, Message: m.msg})
 			}
 		}
 	}
 	n.pipes = slices.DeleteFunc(n.pipes, func(p *pipe) bool { return p.closed })
-	for len(n.late) > 0 && !n.late[0].at.After(n.now) {
-		n.late[0].to.inputs = append(n.late[0].to.inputs, DialFailed{Addr: n.late[0].addr, Reason: "test"})
-		n.late = n.late[1:]
+	for len(n.pendingDialFailures) > 0 && !n.pendingDialFailures[0].at.After(n.now) {
+		n.pendingDialFailures[0].to.inputs = append(n.pendingDialFailures[0].to.inputs, DialFailed{Addr: n.pendingDialFailures[0].addr, Reason: "test"})
+		n.pendingDialFailures = n.pendingDialFailures[1:]
 	}
 }
 
 func (n *testNet) tick(node *testNode) {
 	in := node.inputs
 	node.inputs = nil
-	node.w.Boot = n.boot(node)
+	node.w.Boot = n.bootTime(node)
 	out := Tick(node.w, n.now, in)
-	if n.starting != nil {
-		n.starting.after(n, node, out)
+	if n.startup != nil {
+		n.startup.record(n, node, out)
 	}
-	n.check(node, out)
+	n.checkInvariants(node, out)
 	for _, s := range out.Sends {
 		n.send(node, s)
 	}
 	for _, id := range out.Closes {
-		if p := n.ends[id]; p != nil && !p.closed {
-			n.hangUp(p, node)
+		if p := n.pipeByLink[id]; p != nil && !p.closed {
+			n.closePipe(p, node)
 		}
 	}
 	for _, d := range out.Dials {
@@ -255,48 +271,48 @@
 	case n.documents != nil:
 		n.documents.serve(n, node, out)
 	case n.log != nil:
-		n.useLog(node, out)
+		n.serveLog(node, out)
 	}
-	n.useQuarantine(node, out)
-	n.useRollouts(node, out)
+	n.serveQuarantine(node, out)
+	n.serveRollouts(node, out)
 }
 
 func (n *testNet) send(node *testNode, s Send) {
-	if n.bytes != nil {
+	if n.sentBytes != nil {
 		switch s.Message.(type) {
 		case wire.Suspects, wire.Rollouts, wire.Tally:
 			b, _ := json.Marshal(s.Message)
-			n.bytes[node.id] += len(b)
+			n.sentBytes[node.id] += len(b)
 		}
 	}
-	switch p := n.ends[s.Link]; {
+	switch p := n.pipeByLink[s.Link]; {
 	case p == nil || p.closed:
-	case p.a == node && p.ida == s.Link:
-		p.queue = append(p.queue, delivery{n.arrival(p), p.b, p.idb, s.Message})
-	case p.b == node && p.idb == s.Link:
-		p.queue = append(p.queue, delivery{n.arrival(p), p.a, p.ida, s.Message})
+	case p.a == node && p.linkA == s.Link:
+		p.queue = append(p.queue, delivery{n.arrivalTime(p), p.b, p.linkB, s.Message})
+	case p.b == node && p.linkB == s.Link:
+		p.queue = append(p.queue, delivery{n.arrivalTime(p), p.a, p.linkA, s.Message})
 	}
 }
 
 func (n *testNet) dial(node *testNode, d Dial) {
 	target := n.node(d.Addr)
-	if target.lost {
-		n.late = append(n.late, failedDial{n.now.Add(deadDial), node, d.Addr})
+	if target.powerLost {
+		n.pendingDialFailures = append(n.pendingDialFailures, failedDial{n.now.Add(dialTimeout), node, d.Addr})
 		return
 	}
-	if !target.alive || n.cut(node, target) {
+	if !target.alive || n.isPartitioned(node, target) {
 		node.inputs = append(node.inputs, DialFailed{Addr: d.Addr, Reason: "test"})
 		return
 	}
 	n.lastID += 2
-	p := &pipe{a: node, b: target, ida: n.lastID, idb: n.lastID + 1}
+	p := &pipe{a: node, b: target, linkA: n.lastID, linkB: n.lastID + 1}
 	n.pipes = append(n.pipes, p)
-	if n.ends == nil {
-		n.ends = map[table.LinkID]*pipe{}
+	if n.pipeByLink == nil {
+		n.pipeByLink = map[table.LinkID]*pipe{}
 	}
-	n.ends[p.ida], n.ends[p.idb] = p, p
-	node.inputs = append(node.inputs, Opened{Link: p.ida, Dialed: true, Probe: d.Probe, Addr: d.Addr})
-	target.inputs = append(target.inputs, Opened{Link: p.idb})
+	n.pipeByLink[p.linkA], n.pipeByLink[p.linkB] = p, p
+	node.inputs = append(node.inputs, Opened{Link: p.linkA, Dialed: true, Probe: d.Probe, Addr: d.Addr})
+	target.inputs = append(target.inputs, Opened{Link: p.linkB})
 }
 
 // node returns a daemon by its address.
@@ -310,40 +326,42 @@
 	return n.byAddr[addr]
 }
 
-func (n *testNet) useLog(node *testNode, out Outbox) {
-	down := n.noLog[node.domain]
+// serveLog carries out what a tick asked of the log.
+func (n *testNet) serveLog(node *testNode, out Outbox) {
+	unreachable := n.storeUnreachable[node.domain]
 	if out.ReadLog && !n.now.Before(out.ReadAfter) {
 		batch, err := n.log.Read(context.Background(), store.Query{Topic: store.ConfigTopic, From: out.ReadFrom})
-		if down {
+		if unreachable {
 			batch, err = store.Batch{}, context.DeadlineExceeded
 		}
-		node.inputs = append(node.inputs, LogRead{From: out.ReadFrom, Batch: batch, Err: err, Asked: n.boot(node)})
+		node.inputs = append(node.inputs, LogRead{From: out.ReadFrom, Batch: batch, Err: err, Asked: n.bootTime(node)})
 	}
-	if out.Append != nil && !down {
-		// A failed append is what the tick has to live with.
+	if out.Append != nil && !unreachable {
+		// The system under test must cope with failed appends.
 		_, _ = n.log.Append(context.Background(), store.ConfigTopic, out.Append)
 	}
 }
 
-// check holds the promises that must be true at every moment.
-func (n *testNet) check(node *testNode, out Outbox) {
+// checkInvariants checks what must hold at every tick: equal positions of the log hold
+// equal content, no daemon's version decreases, and each view is consistent.
+func (n *testNet) checkInvariants(node *testNode, out Outbox) {
 	s := node.w.Config.State
-	place := fmt.Sprintf("%d/%d", s.Base, s.Position)
-	if known, ok := n.content[place]; ok && known != s.Hash {
-		n.fatalf("%s holds other content at %s than another daemon", node.id, place)
+	position := fmt.Sprintf("%d/%d", s.Base, s.Position)
+	if want, ok := n.hashAt[position]; ok && want != s.Hash {
+		n.fatalf("%s: hash of the state at position %s differs from that of another daemon", node.id, position)
 	}
-	n.content[place] = s.Hash
+	n.hashAt[position] = s.Hash
 	if node.w.Ready {
 		applied := node.w.Self.Beat.Applied
-		if n.checkFloor && applied < node.highest {
-			n.fatalf("%s went back from version %d to %d (life %d)", node.id, node.highest, applied, node.lives)
+		if n.checkFloor && applied < node.highestApplied {
+			n.fatalf("%s: version went back from %d to %d (incarnation %d)", node.id, node.highestApplied, applied, node.incarnation)
 		}
-		node.highest = max(node.highest, applied)
+		node.highestApplied = max(node.highestApplied, applied)
 	}
-	node.refreshed = node.refreshed || out.Refresh
+	node.viewOutdated = node.viewOutdated || out.Refresh
 	if out.Refresh {
 		if err := view.Build(node.w, nil).Consistent(); err != nil {
-			n.fatalf("%s: %v", node.id, err)
+			n.fatalf("%s: view is inconsistent: %v", node.id, err)
 		}
 	}
 }
--- a/internal/system/rollouts_test.go
+++ b/internal/system/rollouts_test.go
@@ -18,14 +18,14 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// rolledOut is the service that the tests roll out.
-const rolledOut = "s"
+// rolloutService is the service that the tests roll out.
+const rolloutService = "s"
 
-// useRollouts is the store as daemons use it for roll-outs.
-func (n *testNet) useRollouts(node *testNode, out Outbox) {
+// serveRollouts is the store as daemons use it for roll-outs.
+func (n *testNet) serveRollouts(node *testNode, out Outbox) {
 	ctx := context.Background()
 	read := func() (RolloutsRead, uint64) {
-		if n.noLog[node.domain] {
+		if n.storeUnreachable[node.domain] {
 			return RolloutsRead{Err: context.DeadlineExceeded}, 0
 		}
 		newest, err := n.log.Newest(ctx, store.RolloutTopic)
@@ -55,8 +55,8 @@
 		node.inputs = append(node.inputs, r)
 	}
 	for _, rec := range out.TellRollouts {
-		if !n.noLog[node.domain] {
-			n.told = append(n.told, rec)
+		if !n.storeUnreachable[node.domain] {
+			n.published = append(n.published, rec)
 			node.inputs = append(node.inputs, RolloutTold{Record: rec})
 		}
 	}
@@ -71,37 +71,37 @@
 	return true
 }
 
-// release is a roll-out in a net with traffic.
-type release struct {
+// rolloutNet is a roll-out in a net with traffic.
+type rolloutNet struct {
 	n     *testNet
 	rng   *rand.Rand
 	views map[*testNode]*view.View
-	// bad is the part of the new version's answers that fail, from the time badFrom on.
-	bad     float64
-	badFrom time.Time
-	order   rollout.Order
-	ordered time.Time
+	// failureRate is the part of the new version's answers that fail, from the time badFrom on.
+	failureRate float64
+	failingFrom time.Time
+	order       rollout.Order
+	orderedAt   time.Time
 	// calls counts those to the service since the order, exposed those to the new
-	// version, and late those to the other version after the roll-out was completed.
-	calls, exposed, late int
+	// version, and staleCalls those to the other version after the roll-out was completed.
+	calls, exposed, staleCalls int
 	// routes is how many lead to the service.
 	routes int
-	// newVersion is set once upstreams of it are there.
-	newVersion bool
-	next       time.Time
+	// newVersionUp is set once upstreams of it are there.
+	newVersionUp bool
+	nextAnnounce time.Time
 }
 
 const (
-	// callsPerStep is how many calls enter at each daemon in a step of 20 ms.
-	callsPerStep = 1
-	// usualFailures is the part of all answers that fails anyway.
-	usualFailures = 0.01
+	// callsPerTick is how many calls enter at each daemon in a step of 20 ms.
+	callsPerTick = 1
+	// baselineFailureRate is the part of all answers that fails anyway.
+	baselineFailureRate = 0.01
 )
 
-// newRelease returns a net whose daemons each have an upstream of version v1.
-func newRelease(t *testing.T, number uint64, domains, perDomain int) *release {
-	r := &release{n: tNet(t, domains, perDomain), rng: rand.New(rand.NewPCG(number, number)), views: map[*testNode]*view.View{}, routes: 1}
-	r.n.publish("seed", seed)
+// newRolloutNet returns a net whose daemons each have an upstream of version v1.
+func newRolloutNet(t *testing.T, number uint64, domains, perDomain int) *rolloutNet {
+	r := &rolloutNet{n: newTestNetFor(t, domains, perDomain), rng: rand.New(rand.NewPCG(number, number)), views: map[*testNode]*view.View{}, routes: 1}
+	r.n.publish("seed", baseConfig)
 	r.announce()
 	r.n.converge(20 * time.Second)
 	r.run(5 * time.Second)
@@ -109,42 +109,42 @@
 }
 
 // announce renews the upstreams of all daemons.
-func (r *release) announce() {
-	r.next = r.n.now.Add(time.Second)
+func (r *rolloutNet) announce() {
+	r.nextAnnounce = r.n.now.Add(time.Second)
 	for _, node := range r.n.nodes {
 		versions := []string{"v1"}
-		if r.newVersion {
+		if r.newVersionUp {
 			versions = append(versions, "v2")
 		}
 		for _, v := range versions {
 			id := node.id + "/" + v
 			node.inputs = append(node.inputs, Announced{Local: table.Local{
-				Upstream: wire.Upstream{ID: id, Service: rolledOut, Version: v, Slots: 4}, Name: id, Life: id, Addr: "127.0.0.1:1" + id,
+				Upstream: wire.Upstream{ID: id, Service: rolloutService, Version: v, Slots: 4}, Name: id, Life: id, Addr: "127.0.0.1:1" + id,
 			}})
 		}
 	}
 }
 
-// give orders the roll-out: every root reads it, a little later the upstreams are there.
-func (r *release) give(d time.Duration) {
-	r.ordered = r.n.now
-	r.order = rollout.Order{ID: r.order.ID + 1, Service: rolledOut, Target: "v2", Duration: d}
-	r.newVersion = true
+// orderRollout orders the roll-out: every root reads it, a little later the upstreams are there.
+func (r *rolloutNet) orderRollout(d time.Duration) {
+	r.orderedAt = r.n.now
+	r.order = rollout.Order{ID: r.order.ID + 1, Service: rolloutService, Target: "v2", Duration: d}
+	r.newVersionUp = true
 	r.announce()
 }
 
 // run lets time pass, with traffic.
-func (r *release) run(d time.Duration) {
+func (r *rolloutNet) run(d time.Duration) {
 	for end := r.n.now.Add(d); r.n.now.Before(end); {
-		if !r.n.now.Before(r.next) {
+		if !r.n.now.Before(r.nextAnnounce) {
 			r.announce()
 		}
 		for _, node := range r.n.nodes {
-			if node.alive && node.w.MembersTree.Root && !r.n.noLog[node.domain] && r.order.ID > 0 {
+			if node.alive && node.w.MembersTree.Root && !r.n.storeUnreachable[node.domain] && r.order.ID > 0 {
 				node.inputs = append(node.inputs, Ordered{Orders: []rollout.Order{r.order}})
 			}
 		}
-		r.n.run(step)
+		r.n.run(tickInterval)
 		for _, node := range r.n.nodes {
 			if node.alive {
 				r.traffic(node)
@@ -154,17 +154,17 @@
 }
 
 // traffic lets calls enter at a daemon, as its call path carries them.
-func (r *release) traffic(node *testNode) {
-	if r.views[node] == nil || node.refreshed {
+func (r *rolloutNet) traffic(node *testNode) {
+	if r.views[node] == nil || node.viewOutdated {
 		r.views[node] = view.Build(node.w, r.views[node])
-		node.refreshed = false
+		node.viewOutdated = false
 	}
 	v := r.views[node]
-	s := v.Services[rolledOut]
+	s := v.Services[rolloutService]
 	if s == nil || !v.Ready {
 		return // it has just started
 	}
-	for range callsPerStep {
+	for range callsPerTick {
 		list := s.Upstreams
 		if s.Split != nil {
 			if trial := s.Split.Trial(r.n.now); trial != nil {
@@ -176,9 +176,9 @@
 		}
 		u := list[r.rng.IntN(len(list))]
 		r.count(node, u)
-		fails := usualFailures
-		if u.Version == "v2" && !r.badFrom.IsZero() && !r.n.now.Before(r.badFrom) {
-			fails = r.bad
+		fails := baselineFailureRate
+		if u.Version == "v2" && !r.failingFrom.IsZero() && !r.n.now.Before(r.failingFrom) {
+			fails = r.failureRate
 		}
 		if s.Split != nil {
 			s.Split.Note(r.n.now, view.Ran{Route: fmt.Sprint("route-", r.rng.IntN(r.routes)), Upstream: u, Failed: r.rng.Float64() < fails, Took: time.Millisecond})
@@ -186,27 +186,27 @@
 	}
 }
 
-func (r *release) count(node *testNode, u view.Upstream) {
+func (r *rolloutNet) count(node *testNode, u view.Upstream) {
 	if r.order.ID == 0 {
 		return
 	}
-	if r.n.now.Before(r.ordered.Add(r.order.Duration)) {
+	if r.n.now.Before(r.orderedAt.Add(r.order.Duration)) {
 		r.calls++
 		if u.Version == "v2" {
 			r.exposed++
 		}
 	}
-	if ro := node.w.Rollouts[rolledOut]; ro != nil && ro.Phase == rollout.Completed && u.Version == "v1" {
-		r.late++
+	if ro := node.w.Rollouts[rolloutService]; ro != nil && ro.Phase == rollout.Completed && u.Version == "v1" {
+		r.staleCalls++
 	}
 }
 
-// ended returns how the roll-out has ended on all daemons, or says which differs.
-func (r *release) ended(t *testing.T) rollout.Phase {
+// finalPhase returns how the roll-out has finalPhase on all daemons, or says which differs.
+func (r *rolloutNet) finalPhase(t *testing.T) rollout.Phase {
 	t.Helper()
 	var phase rollout.Phase
 	for i, node := range r.n.nodes {
-		ro := node.w.Rollouts[rolledOut]
+		ro := node.w.Rollouts[rolloutService]
 		if ro == nil {
 			t.Fatalf("%s knows no roll-out", node.id)
 		}
@@ -218,17 +218,17 @@
 	return phase
 }
 
-// allowed is how many calls a bad version may get.
-func (r *release) allowed() int { return r.calls/10 + 50 }
+// exposureLimit is how many calls a bad version may get.
+func (r *rolloutNet) exposureLimit() int { return r.calls/10 + 50 }
 
 func TestGoodVersionIsCompletedInTime(t *testing.T) {
 	is := is.New(t)
-	r := newRelease(t, 1, 3, 5)
-	r.give(12 * time.Second)
+	r := newRolloutNet(t, 1, 3, 5)
+	r.orderRollout(12 * time.Second)
 	r.run(12 * time.Second)
-	is.Equal(r.ended(t), rollout.Completed)
-	is.Equal(r.late, 0)
-	is.Equal(r.n.told[len(r.n.told)-1].Phase, rollout.Completed)
+	is.Equal(r.finalPhase(t), rollout.Completed)
+	is.Equal(r.staleCalls, 0)
+	is.Equal(r.n.published[len(r.n.published)-1].Phase, rollout.Completed)
 	is.True(len(r.n.agreed) == 3) // each phase once
 }
 
@@ -237,13 +237,13 @@
 func TestBadVersionIsExposedNoMoreThanAllowed(t *testing.T) {
 	for seed := range uint64(6) {
 		is := is.New(t)
-		r := newRelease(t, seed, 3, 5)
-		r.give(12 * time.Second)
-		r.bad, r.badFrom = 0.3+0.1*float64(seed), r.ordered.Add(time.Duration(seed)*500*time.Millisecond)
+		r := newRolloutNet(t, seed, 3, 5)
+		r.orderRollout(12 * time.Second)
+		r.failureRate, r.failingFrom = 0.3+0.1*float64(seed), r.orderedAt.Add(time.Duration(seed)*500*time.Millisecond)
 		r.run(12 * time.Second)
-		is.Equal(r.ended(t), rollout.Reverted)
-		t.Logf("seed %d: %d of %d calls went to the bad version, %d allowed; %s", seed, r.exposed, r.calls, r.allowed(), r.n.nodes[0].w.Rollouts[rolledOut].Why)
-		is.True(r.exposed <= r.allowed())
+		is.Equal(r.finalPhase(t), rollout.Reverted)
+		t.Logf("seed %d: %d of %d calls went to the bad version, %d allowed; %s", seed, r.exposed, r.calls, r.exposureLimit(), r.n.nodes[0].w.Rollouts[rolloutService].Why)
+		is.True(r.exposed <= r.exposureLimit())
 		before := r.exposed
 		r.run(5 * time.Second)
 		is.Equal(r.exposed, before) // and none ever after
@@ -254,44 +254,44 @@
 // plain replacement.
 func TestNewVersionWithoutAnOrderIsServed(t *testing.T) {
 	is := is.New(t)
-	r := newRelease(t, 1, 2, 3)
-	r.newVersion = true
+	r := newRolloutNet(t, 1, 2, 3)
+	r.newVersionUp = true
 	r.announce()
-	split := func() bool { return r.views[r.n.nodes[0]].Services[rolledOut].Split != nil }
+	split := func() bool { return r.views[r.n.nodes[0]].Services[rolloutService].Split != nil }
 	r.run(time.Second)
 	is.True(split()) // an order may be on its way
 	r.run(testParams().InForce)
 	is.True(!split())
-	is.Equal(len(r.views[r.n.nodes[0]].Services[rolledOut].Upstreams), 12)
+	is.Equal(len(r.views[r.n.nodes[0]].Services[rolloutService].Upstreams), 12)
 }
 
 // TestOrderForAVersionThatNobodyRuns is reverted, and calls are served as before.
 func TestOrderForAVersionThatNobodyRuns(t *testing.T) {
 	is := is.New(t)
-	r := newRelease(t, 1, 2, 3)
-	r.give(6 * time.Second)
-	r.newVersion = false
+	r := newRolloutNet(t, 1, 2, 3)
+	r.orderRollout(6 * time.Second)
+	r.newVersionUp = false
 	for _, node := range r.n.nodes {
 		node.inputs = nil // as if they had never come
 	}
 	r.run(6 * time.Second)
-	is.Equal(r.ended(t), rollout.Reverted)
+	is.Equal(r.finalPhase(t), rollout.Reverted)
 	is.Equal(r.exposed, 0)
 }
 
 // TestSecondOrderBarsTheFirstVersion gives an order while another runs.
 func TestSecondOrderBarsTheFirstVersion(t *testing.T) {
 	is := is.New(t)
-	r := newRelease(t, 1, 2, 3)
-	r.give(12 * time.Second)
+	r := newRolloutNet(t, 1, 2, 3)
+	r.orderRollout(12 * time.Second)
 	r.run(2 * time.Second)
-	r.order = rollout.Order{ID: r.order.ID + 1, Service: rolledOut, Target: "v3", Duration: 12 * time.Second}
+	r.order = rollout.Order{ID: r.order.ID + 1, Service: rolloutService, Target: "v3", Duration: 12 * time.Second}
 	r.run(2 * time.Second)
 	for _, node := range r.n.nodes {
-		ro := node.w.Rollouts[rolledOut]
+		ro := node.w.Rollouts[rolloutService]
 		is.Equal(ro.Target, "v3")
 		is.Equal(ro.Barred, []string{"v2"})
-		for _, u := range r.views[node].Services[rolledOut].Upstreams {
+		for _, u := range r.views[node].Services[rolloutService].Upstreams {
 			is.Equal(u.Version, "v1")
 		}
 	}
@@ -300,11 +300,11 @@
 // TestMalformedNewsOfRolloutsChangeNothing sends what no daemon would.
 func TestMalformedNewsOfRolloutsChangeNothing(t *testing.T) {
 	is := is.New(t)
-	r := newRelease(t, 1, 1, 3)
-	r.give(12 * time.Second)
+	r := newRolloutNet(t, 1, 1, 3)
+	r.orderRollout(12 * time.Second)
 	r.run(time.Second)
 	node := r.n.nodes[0]
-	before := *node.w.Rollouts[rolledOut]
+	before := *node.w.Rollouts[rolloutService]
 	var link table.LinkID
 	for id := range node.w.Links {
 		link = id
@@ -317,13 +317,13 @@
 	noVersion.ID, noVersion.Target = 99, ""
 	for _, m := range []wire.Message{
 		wire.Rollouts{States: []wire.RolloutState{older, noPhase, negative, noVersion}},
-		wire.Tally{Service: rolledOut, Order: before.ID, Domain: "d0", By: "x", Rows: []rollout.Row{{Count: rollout.Count{N: -5}}}},
-		wire.Tally{Service: rolledOut, Order: before.ID, Domain: "d0", By: "x", Rows: []rollout.Row{{Cell: rollout.Cell{Target: true}, Count: rollout.Count{N: 5, Failed: 6}}}},
-		wire.Tally{Service: "another", Order: 1}, wire.Tally{Service: rolledOut, Order: 77},
+		wire.Tally{Service: rolloutService, Order: before.ID, Domain: "d0", By: "x", Rows: []rollout.Row{{Count: rollout.Count{N: -5}}}},
+		wire.Tally{Service: rolloutService, Order: before.ID, Domain: "d0", By: "x", Rows: []rollout.Row{{Cell: rollout.Cell{Target: true}, Count: rollout.Count{N: 5, Failed: 6}}}},
+		wire.Tally{Service: "another", Order: 1}, wire.Tally{Service: rolloutService, Order: 77},
 	} {
 		Tick(node.w, r.n.now, []Input{Received{Link: link, Message: m}})
 	}
-	after := node.w.Rollouts[rolledOut]
+	after := node.w.Rollouts[rolloutService]
 	is.Equal(after.Record, before.Record)
 	is.Equal(after.Stop, "")
 	for _, d := range after.Domains {
@@ -339,16 +339,16 @@
 	faults := []string{"none", "kill-deciders", "cut", "store-down", "store-loses", "all-restart"}
 	for seed := range uint64(4 * len(faults)) {
 		fault, bad := faults[seed%uint64(len(faults))], seed/uint64(len(faults))%2 == 1
-		t.Run(fmt.Sprintf("%s-%t-%d", fault, bad, seed), func(t *testing.T) { underFault(t, seed, fault, bad) })
+		t.Run(fmt.Sprintf("%s-%t-%d", fault, bad, seed), func(t *testing.T) { testRolloutUnderFault(t, seed, fault, bad) })
 	}
 }
 
-func underFault(t *testing.T, seed uint64, fault string, bad bool) {
-	r := newRelease(t, seed, 3, 5)
+func testRolloutUnderFault(t *testing.T, seed uint64, fault string, bad bool) {
+	r := newRolloutNet(t, seed, 3, 5)
 	r.n.checkFloor = false
-	r.give(12 * time.Second)
+	r.orderRollout(12 * time.Second)
 	if bad {
-		r.bad, r.badFrom = 0.5, r.ordered
+		r.failureRate, r.failingFrom = 0.5, r.orderedAt
 	}
 	r.run(time.Duration(500+r.rng.IntN(8000)) * time.Millisecond)
 	n := r.n
@@ -367,10 +367,10 @@
 		}
 		r.announce()
 	case "cut":
-		n.apart["d0|d1"], n.apart["d0|d2"] = true, true
-		n.noLog["d0"] = true
+		n.partitions["d0|d1"], n.partitions["d0|d2"] = true, true
+		n.storeUnreachable["d0"] = true
 		r.run(4 * time.Second)
-		n.apart, n.noLog = map[string]bool{}, map[string]bool{}
+		n.partitions, n.storeUnreachable = map[string]bool{}, map[string]bool{}
 	case "store-down":
 		n.log.SetFaults(devlog.Faults{Down: true})
 		r.run(3 * time.Second)
@@ -388,15 +388,15 @@
 		r.announce()
 	}
 	r.run(20 * time.Second)
-	phase := r.ended(t)
+	phase := r.finalPhase(t)
 	if bad && phase != rollout.Reverted {
 		t.Errorf("a bad version is %s", phase)
 	}
-	if bad && r.exposed > r.allowed() {
+	if bad && r.exposed > r.exposureLimit() {
 		t.Errorf("%d of %d calls went to a bad version", r.exposed, r.calls)
 	}
 	if !bad && phase != rollout.Completed {
-		t.Errorf("a good version is %s: %s", phase, n.nodes[0].w.Rollouts[rolledOut].Why)
+		t.Errorf("a good version is %s: %s", phase, n.nodes[0].w.Rollouts[rolloutService].Why)
 	}
 	for i := 1; i < len(n.agreed); i++ {
 		if !n.agreed[i].Follows(n.agreed[i-1]) {
@@ -411,13 +411,13 @@
 func TestRolloutCostsFewBytes(t *testing.T) {
 	const most, lasts = 22_000, 6 * time.Second
 	for _, size := range []struct{ domains, perDomain int }{{3, 5}, {3, 23}, {7, 19}} {
-		r := newRelease(t, 1, size.domains, size.perDomain)
+		r := newRolloutNet(t, 1, size.domains, size.perDomain)
 		r.routes = 10
-		r.give(2 * lasts)
-		r.n.bytes = map[string]int{}
+		r.orderRollout(2 * lasts)
+		r.n.sentBytes = map[string]int{}
 		r.run(lasts)
 		sum, busiest := 0, 0
-		for _, n := range r.n.bytes {
+		for _, n := range r.n.sentBytes {
 			sum += n
 			busiest = max(busiest, n)
 		}
--- a/internal/system/seek_test.go
+++ b/internal/system/seek_test.go
@@ -148,7 +148,7 @@
 // must join them: a service whose only upstream is on the other island would
 // be refused until then.
 func TestIslandsAfterAColdStartJoin(t *testing.T) {
-	n := tNet(t, 2, 2)
+	n := newTestNetFor(t, 2, 2)
 	for i, node := range n.nodes {
 		other := n.nodes[i^1]
 		node.w.Params.Probe = time.Hour
--- a/internal/system/start_test.go
+++ b/internal/system/start_test.go
@@ -11,31 +11,31 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// startWatch counts what a start of everything costs each daemon.
-type startWatch struct {
-	cost   map[string]*startCost
-	listed []string
+// startupCosts counts what a start of everything costs each daemon.
+type startupCosts struct {
+	cost      map[string]*startCost
+	published []string
 	// document is what the store holds.
-	document config.Document
-	nextPut  time.Time
-	puts     []put
+	document   config.Document
+	nextAppend time.Time
+	appends    []addressAppend
 }
 
-// put is an append of a daemon's addresses, which the store takes one at a time.
-type put struct {
+// addressAppend is an append of a daemon's addresses, which the store takes one at a time.
+type addressAppend struct {
 	at   time.Time
 	node *testNode
 }
 
 // startCost is what a start costs one daemon.
 type startCost struct {
-	records, pulls, messages, dialed int
+	records, pulls, messages, dials int
 	// finds and reads are questions to the store.
 	finds, reads int
-	readAgain    time.Time
+	nextRead     time.Time
 }
 
-func (s *startWatch) of(node *testNode) *startCost {
+func (s *startupCosts) costOf(node *testNode) *startCost {
 	c := s.cost[node.id]
 	if c == nil {
 		c = &startCost{}
@@ -44,10 +44,10 @@
 	return c
 }
 
-func (s *startWatch) after(n *testNet, node *testNode, out Outbox) {
-	c := s.of(node)
+func (s *startupCosts) record(n *testNet, node *testNode, out Outbox) {
+	c := s.costOf(node)
 	c.messages += len(out.Sends)
-	c.dialed += len(out.Dials)
+	c.dials += len(out.Dials)
 	for _, m := range out.Sends {
 		switch v := m.Message.(type) {
 		case wire.Members:
@@ -57,35 +57,35 @@
 		}
 	}
 	if out.PublishSelf {
-		s.nextPut = later(s.nextPut, n.now).Add(4 * time.Millisecond)
-		s.puts = append(s.puts, put{s.nextPut, node})
+		s.nextAppend = later(s.nextAppend, n.now).Add(4 * time.Millisecond)
+		s.appends = append(s.appends, addressAppend{s.nextAppend, node})
 	}
-	for len(s.puts) > 0 && !s.puts[0].at.After(n.now) {
-		s.listed = append(s.listed, s.puts[0].node.id)
-		s.puts = s.puts[1:]
+	for len(s.appends) > 0 && !s.appends[0].at.After(n.now) {
+		s.published = append(s.published, s.appends[0].node.id)
+		s.appends = s.appends[1:]
 	}
-	if out.ReadLog && !n.now.Before(c.readAgain) {
+	if out.ReadLog && !n.now.Before(c.nextRead) {
 		c.reads++
-		c.readAgain = n.now.Add(out.ReadWait)
+		c.nextRead = n.now.Add(out.ReadWait)
 		node.inputs = append(node.inputs, DocumentRead{Document: s.document})
 	}
 	if out.FindSeeds {
 		c.finds++
-		node.inputs = append(node.inputs, SelfListed{Others: len(s.listed)})
-		if k := len(s.listed); k > 0 {
-			node.inputs = append(node.inputs, SeedsFound{Addrs: s.listed[max(0, k-64):]})
+		node.inputs = append(node.inputs, SelfListed{Others: len(s.published)})
+		if k := len(s.published); k > 0 {
+			node.inputs = append(node.inputs, SeedsFound{Addrs: s.published[max(0, k-64):]})
 		}
 	}
 }
 
 // startFleet starts n daemons in five failure domains at once, with the settings of the
 // users' platform, and returns what that costs until all know each other.
-func startFleet(t testing.TB, n int) (*startWatch, time.Duration) {
+func startFleet(t testing.TB, n int) (*startupCosts, time.Duration) {
 	const domains = 5
 	net := &testNet{
 		fatalf: func(f string, args ...any) { t.Fatalf(f, args...) },
-		now:    time.Unix(1_700_000_000, 0), log: nil, apart: map[string]bool{}, noLog: map[string]bool{}, content: map[string]string{},
-		starting: &startWatch{document: documentOf(5, 20), cost: map[string]*startCost{}},
+		now:    time.Unix(1_700_000_000, 0), log: nil, partitions: map[string]bool{}, storeUnreachable: map[string]bool{}, hashAt: map[string]string{},
+		startup: &startupCosts{document: documentOf(5, 20), cost: map[string]*startCost{}},
 	}
 	for i := range n {
 		net.nodes = append(net.nodes, &testNode{id: fmt.Sprintf("vm-%04d", i), domain: fmt.Sprintf("d%d", i%domains), index: i, alive: true})
@@ -107,7 +107,7 @@
 			}
 		}
 		if known == n {
-			return net.starting, net.now.Sub(began)
+			return net.startup, net.now.Sub(began)
 		}
 	}
 	t.Fatalf("%d daemons do not all know each other", n)
@@ -131,7 +131,7 @@
 	}{
 		{"records passed on", func(c startCost) int { return c.records }, large / small * logs},
 		{"comparisons of tables", func(c startCost) int { return c.pulls }, logs},
-		{"connections opened", func(c startCost) int { return c.dialed }, logs},
+		{"connections opened", func(c startCost) int { return c.dials }, logs},
 		{"messages", func(c startCost) int { return c.messages }, logs},
 		{"questions to the store", func(c startCost) int { return c.finds + c.reads }, logs},
 	} {
@@ -141,13 +141,13 @@
 			t.Errorf("%s of a daemon: %.1f of %d, %.1f of %d", c.name, a, small, b, large)
 		}
 	}
-	if listed := len(many.listed); listed > 3*enoughListed {
+	if listed := len(many.published); listed > 3*enoughListed {
 		t.Errorf("%d of %d daemons leave their addresses in the store", listed, large)
 	}
 }
 
 // mean returns the mean over all daemons.
-func (s *startWatch) mean(of func(startCost) int) float64 {
+func (s *startupCosts) mean(of func(startCost) int) float64 {
 	sum := 0
 	for _, c := range s.cost {
 		sum += of(*c)
--- a/internal/system/storm_bench_test.go
+++ b/internal/system/storm_bench_test.go
@@ -14,8 +14,8 @@
 // 250 KB as a document.
 const stormRoutes = 1700
 
-// nextOf returns a document that differs from doc in one route's policy.
-func nextOf(doc config.Document) config.Document {
+// nextDocument returns a document that differs from doc in one route's policy.
+func nextDocument(doc config.Document) config.Document {
 	next := config.Document{Version: doc.Version + 3, Content: config.NewContent()}
 	next.Content.Services = doc.Content.Services
 	for name, p := range doc.Content.Policies {
@@ -56,7 +56,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		doc = nextOf(doc)
+		doc = nextDocument(doc)
 		at = at.Add(time.Second)
 		for _, l := range children {
 			l.HeardAt, l.EchoAt, l.PingAt = at, at, at
--- a/internal/system/storm_test.go
+++ b/internal/system/storm_test.go
@@ -28,7 +28,7 @@
 	Tick(receiver, at, []Input{DocumentRead{Document: doc}})
 	inForce := view.Build(receiver, nil)
 	step := func() {
-		doc = nextOf(doc)
+		doc = nextDocument(doc)
 		before := sender.Config.State.Version
 		Tick(sender, at, []Input{DocumentRead{Document: doc}})
 		d, ok := delta(sender, before)
--- a/internal/system/suspects_test.go
+++ b/internal/system/suspects_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// knowing counts the live daemons that hold a request in quarantine.
-func (n *testNet) knowing(d suspect.Digest) int {
+// countQuarantining counts the live daemons that hold a request in quarantine.
+func (n *testNet) countQuarantining(d suspect.Digest) int {
 	know := 0
 	for _, node := range n.nodes {
 		if node.alive && node.w.Suspects.Ends(d) >= suspect.Enough {
@@ -41,18 +41,18 @@
 // the store must tell them.
 func TestQuarantineReachesAllAndOutlastsThem(t *testing.T) {
 	is := is.New(t)
-	n := tNet(t, 3, 4)
-	n.publish("seed", seed)
+	n := newTestNetFor(t, 3, 4)
+	n.publish("seed", baseConfig)
 	n.converge(20 * time.Second)
 	quarantine(n.nodes[7], 1)
-	n.run(12 * step) // a tick and a message for each of five hops
-	is.Equal(n.knowing(1), len(n.nodes))
+	n.run(12 * tickInterval) // a tick and a message for each of five hops
+	is.Equal(n.countQuarantining(1), len(n.nodes))
 	for _, node := range n.nodes {
 		n.kill(node)
-		n.run(step)
+		n.run(tickInterval)
 		n.start(node)
 		n.run(3 * time.Second)
-		is.Equal(n.knowing(1), len(n.nodes))
+		is.Equal(n.countQuarantining(1), len(n.nodes))
 	}
 	for _, node := range n.nodes {
 		n.kill(node)
@@ -60,9 +60,9 @@
 	for _, node := range n.nodes {
 		n.start(node)
 	}
-	is.Equal(n.knowing(1), 0)
+	is.Equal(n.countQuarantining(1), 0)
 	n.run(3 * time.Second)
-	is.Equal(n.knowing(1), len(n.nodes))
+	is.Equal(n.countQuarantining(1), len(n.nodes))
 }
 
 // TestQuarantineCrossesCutsThroughTheStore cuts each failure domain off from the others.
@@ -70,33 +70,33 @@
 // when either comes back.
 func TestQuarantineCrossesCutsThroughTheStore(t *testing.T) {
 	is := is.New(t)
-	n := tNet(t, 3, 4)
-	n.publish("seed", seed)
+	n := newTestNetFor(t, 3, 4)
+	n.publish("seed", baseConfig)
 	n.converge(20 * time.Second)
 	for _, pair := range []string{"d0|d1", "d0|d2", "d1|d2"} {
-		n.apart[pair] = true
+		n.partitions[pair] = true
 	}
 	n.run(3 * time.Second)
 	quarantine(n.nodes[1], 1)
 	n.run(time.Second)
-	is.Equal(n.knowing(1), len(n.nodes))
-	n.noLog["d2"] = true
+	is.Equal(n.countQuarantining(1), len(n.nodes))
+	n.storeUnreachable["d2"] = true
 	n.run(3 * time.Second)
 	quarantine(n.nodes[1], 2)
 	n.run(time.Second)
-	is.Equal(n.knowing(2), 8)
-	n.noLog["d2"] = false
+	is.Equal(n.countQuarantining(2), 8)
+	n.storeUnreachable["d2"] = false
 	n.run(4 * time.Second)
-	is.Equal(n.knowing(2), len(n.nodes))
+	is.Equal(n.countQuarantining(2), len(n.nodes))
 	// An answer somewhere ends it everywhere, also on the store.
-	n.apart = map[string]bool{}
+	n.partitions = map[string]bool{}
 	n.run(4 * time.Second)
 	n.nodes[11].w.Suspects.Answered(2)
 	n.run(4 * time.Second)
-	is.Equal(n.knowing(2), 0)
-	is.Equal(n.knowing(1), len(n.nodes))
+	is.Equal(n.countQuarantining(2), 0)
+	is.Equal(n.countQuarantining(1), len(n.nodes))
 	kept := 0
-	for _, r := range n.quarantined() {
+	for _, r := range n.storedQuarantine() {
 		if r.Quarantined() {
 			kept++
 		}
@@ -107,27 +107,27 @@
 // TestOutOfDateQuarantineLeavesTheStore: a record that nobody needs any more is dropped.
 func TestOutOfDateQuarantineLeavesTheStore(t *testing.T) {
 	is := is.New(t)
-	n := tNet(t, 2, 3)
-	n.publish("seed", seed)
+	n := newTestNetFor(t, 2, 3)
+	n.publish("seed", baseConfig)
 	n.converge(20 * time.Second)
 	n.writeQuarantine(suspect.Record{Digest: 9, Ends: []suspect.End{1, 2, 3}, At: n.now.Add(-suspect.Keep).UnixMilli() + 5000})
 	n.run(time.Second)
-	is.Equal(n.knowing(9), len(n.nodes))
+	is.Equal(n.countQuarantining(9), len(n.nodes))
 	n.run(8 * time.Second)
-	is.Equal(len(n.quarantined()), 0)
+	is.Equal(len(n.storedQuarantine()), 0)
 }
 
 // TestOneReaderLeavesARecord: the store's calls are dear, and of all readers one writes.
 func TestOneReaderLeavesARecord(t *testing.T) {
 	is := is.New(t)
-	n := tNet(t, 4, 4)
-	n.publish("seed", seed)
+	n := newTestNetFor(t, 4, 4)
+	n.publish("seed", baseConfig)
 	n.converge(20 * time.Second)
-	n.kept = 0
+	n.quarantineWrites = 0
 	quarantine(n.nodes[5], 1)
 	n.run(5 * time.Second)
-	is.Equal(n.knowing(1), len(n.nodes))
-	is.Equal(n.kept, 1)
+	is.Equal(n.countQuarantining(1), len(n.nodes))
+	is.Equal(n.quarantineWrites, 1)
 }
 
 // TestDaemonsOfEarlierReleasesAreSentNothingNew: they would end a connection on which a
@@ -164,23 +164,23 @@
 		if testing.Short() && f.each > 100 {
 			continue
 		}
-		n := bigNet(t, f.domains, f.each)
+		n := newLargeNet(t, f.domains, f.each)
 		n.run(8 * time.Second)
-		n.bytes = map[string]int{}
+		n.sentBytes = map[string]int{}
 		node := n.nodes[len(n.nodes)/2]
 		for d := range 16 {
 			node.w.Suspects.Charge(suspect.Digest(d+1), 77)
 		}
 		steps := 0
-		for ; steps < 50 && n.suspecting(16) < len(n.nodes); steps++ {
-			n.run(step)
+		for ; steps < 50 && n.countSuspecting(16) < len(n.nodes); steps++ {
+			n.run(tickInterval)
 		}
 		for d := range 15 {
 			n.nodes[d].w.Suspects.Answered(suspect.Digest(d + 1))
 		}
 		n.run(time.Second)
 		most, sum := 0, 0
-		for _, b := range n.bytes {
+		for _, b := range n.sentBytes {
 			most = max(most, b)
 			sum += b
 		}
@@ -191,8 +191,8 @@
 	}
 }
 
-// suspecting counts the daemons that know of an end under the request.
-func (n *testNet) suspecting(d suspect.Digest) int {
+// countSuspecting counts the daemons that know of an end under the request.
+func (n *testNet) countSuspecting(d suspect.Digest) int {
 	know := 0
 	for _, node := range n.nodes {
 		if node.w.Suspects.Ends(d) > 0 {
@@ -202,11 +202,11 @@
 	return know
 }
 
-// bigNet is a fleet with the parameters of the size to design for, whose daemons know each
+// newLargeNet is a fleet with the parameters of the size to design for, whose daemons know each
 // other already.
-func bigNet(t *testing.T, domains, each int) *testNet {
+func newLargeNet(t *testing.T, domains, each int) *testNet {
 	t.Helper()
-	n := tNet(t, domains, each)
+	n := newTestNetFor(t, domains, each)
 	for _, node := range n.nodes {
 		p := table.DefaultParams()
 		node.w.Params = p
@@ -222,10 +222,10 @@
 	return n
 }
 
-// quarantined returns the records that the store holds.
-func (n *testNet) quarantined() []suspect.Record {
+// storedQuarantine returns the records that the store holds.
+func (n *testNet) storedQuarantine() []suspect.Record {
 	var out []suspect.Record
-	for _, data := range n.store {
+	for _, data := range n.quarantineStore {
 		var r suspect.Record
 		if err := json.Unmarshal(data, &r); err != nil {
 			n.fatalf("%v", err)
@@ -241,24 +241,24 @@
 	if err != nil {
 		n.fatalf("%v", err)
 	}
-	n.store[r.Digest] = b
-	n.written++
-	n.kept++
+	n.quarantineStore[r.Digest] = b
+	n.quarantineVersion++
+	n.quarantineWrites++
 }
 
-// useQuarantine does what a tick wants of the store's records.
-func (n *testNet) useQuarantine(node *testNode, out Outbox) {
-	if n.noLog[node.domain] {
+// serveQuarantine does what a tick wants of the store's records.
+func (n *testNet) serveQuarantine(node *testNode, out Outbox) {
+	if n.storeUnreachable[node.domain] {
 		return
 	}
 	for _, r := range out.KeepQuarantine {
 		n.writeQuarantine(r)
 	}
 	for _, d := range out.DropQuarantine {
-		delete(n.store, d)
+		delete(n.quarantineStore, d)
 	}
-	if out.ReadQuarantine && node.read != fmt.Sprint(node.lives, n.written) {
-		node.read = fmt.Sprint(node.lives, n.written)
-		node.inputs = append(node.inputs, QuarantineRead{Records: n.quarantined(), Whole: true})
+	if out.ReadQuarantine && node.lastQuarantineRead != fmt.Sprint(node.incarnation, n.quarantineVersion) {
+		node.lastQuarantineRead = fmt.Sprint(node.incarnation, n.quarantineVersion)
+		node.inputs = append(node.inputs, QuarantineRead{Records: n.storedQuarantine(), Whole: true})
 	}
 }
--- a/internal/system/system_test.go
+++ b/internal/system/system_test.go
@@ -14,13 +14,13 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// seed is a change set that later ones build on.
-const seed = "put service s; put policy p urgency normal timeout 1s; put caller c; put route r path /r to s policy p callers c"
+// baseConfig is a change set that later ones build on.
+const baseConfig = "put service s; put policy p urgency normal timeout 1s; put caller c; put route r path /r to s policy p callers c"
 
 func TestDaemonsConvergeOnWhatTheLogHolds(t *testing.T) {
-	n := tNet(t, 3, 4)
+	n := newTestNetFor(t, 3, 4)
 	n.run(2 * time.Second)
-	n.publish("a", seed)
+	n.publish("a", baseConfig)
 	n.converge(5 * time.Second)
 }
 
@@ -32,7 +32,7 @@
 func TestPromisesHoldUnderAnyHistory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := newTestNet(rt.Fatalf, 3, 3)
-		n.publish("seed", seed)
+		n.publish("seed", baseConfig)
 		n.converge(20 * time.Second)
 		published := 0
 		for range rapid.IntRange(3, 25).Draw(rt, "ops") {
@@ -51,20 +51,20 @@
 				}
 			case "start":
 				node := rapid.SampledFrom(n.nodes).Draw(rt, "node")
-				if !node.alive && len(n.apart) == 0 {
+				if !node.alive && len(n.partitions) == 0 {
 					n.start(node)
 				}
 			case "cut":
 				a := rapid.SampledFrom(n.nodes).Draw(rt, "a")
 				b := rapid.SampledFrom(n.nodes).Draw(rt, "b")
-				n.apart[pairKey(a, b)] = true
+				n.partitions[domainPair(a, b)] = true
 			case "heal":
-				n.apart = map[string]bool{}
+				n.partitions = map[string]bool{}
 			case "log":
 				d := rapid.SampledFrom(n.nodes).Draw(rt, "domain").domain
-				n.noLog[d] = !n.noLog[d]
+				n.storeUnreachable[d] = !n.storeUnreachable[d]
 			case "expire":
-				n.expireRead(rapid.IntRange(0, 3).Draw(rt, "keep"))
+				n.expireApplied(rapid.IntRange(0, 3).Draw(rt, "keep"))
 			case "pause":
 				n.log.SetFaults(devlog.Faults{Down: rapid.Bool().Draw(rt, "down")})
 			}
@@ -74,9 +74,9 @@
 	})
 }
 
-// expireRead lets the log forget records that some live daemon has applied:
+// expireApplied lets the log forget records that some live daemon has applied:
 // retention is hours, reading takes milliseconds.
-func (n *testNet) expireRead(keep int) {
+func (n *testNet) expireApplied(keep int) {
 	batch, err := n.log.Read(context.Background(), store.Query{Topic: store.ConfigTopic})
 	if err != nil {
 		return
@@ -104,8 +104,8 @@
 // any daemon read it, so that no daemon can go on by itself.
 func TestRecordsThatNobodyReadAreMendedByReseed(t *testing.T) {
 	is := is.New(t)
-	n := tNet(t, 2, 2)
-	n.publish("a", seed)
+	n := newTestNetFor(t, 2, 2)
+	n.publish("a", baseConfig)
 	n.converge(10 * time.Second)
 	n.publish("lost", "put service lost")
 	n.log.Expire(store.ConfigTopic, 0)
@@ -131,8 +131,8 @@
 // again. Versions still only grow.
 func TestReplacedLogIsReseeded(t *testing.T) {
 	is := is.New(t)
-	n := tNet(t, 2, 3)
-	n.publish("a", seed)
+	n := newTestNetFor(t, 2, 3)
+	n.publish("a", baseConfig)
 	n.publish("b", "put service s2")
 	n.converge(10 * time.Second)
 	n.log.Reset()
@@ -158,15 +158,15 @@
 // put an empty configuration in force.
 func TestDaemonCutOffFromEverybodyDoesNotServeNothing(t *testing.T) {
 	is := is.New(t)
-	n := tNet(t, 2, 2)
-	n.publish("a", seed)
+	n := newTestNetFor(t, 2, 2)
+	n.publish("a", baseConfig)
 	n.converge(10 * time.Second)
 	lone := n.nodes[0]
 	n.kill(lone)
 	n.kill(n.nodes[1])
 	n.kill(n.nodes[3])
-	n.apart["d0|d1"] = true
-	n.noLog["d0"] = true
+	n.partitions["d0|d1"] = true
+	n.storeUnreachable["d0"] = true
 	n.start(lone)
 	n.run(10 * time.Second)
 	is.True(!lone.w.Ready)
@@ -183,13 +183,13 @@
 
 func TestRestartedDaemonWaitsForItsOldVersion(t *testing.T) {
 	is := is.New(t)
-	n := tNet(t, 1, 3)
-	n.publish("a", seed)
+	n := newTestNetFor(t, 1, 3)
+	n.publish("a", baseConfig)
 	n.converge(10 * time.Second)
 	n.publish("b", "put service s2")
 	n.converge(10 * time.Second)
 	first := n.nodes[0]
-	highest := first.highest
+	highest := first.highestApplied
 	is.Equal(highest, uint64(2))
 	// The log is down and everything that holds version 2 is gone, except a
 	// peer that only remembers that the daemon had it.
@@ -199,8 +199,8 @@
 	lagging := n.nodes[2]
 	lagging.w.Config.State = stateAt(t, n, 1)
 	lagging.w.Config.History = nil
-	n.content = map[string]string{}
-	lagging.highest = 0
+	n.hashAt = map[string]string{}
+	lagging.highestApplied = 0
 	n.start(first)
 	n.run(5 * time.Second)
 	is.True(!first.w.Ready) // it must not serve version 1
@@ -236,8 +236,8 @@
 // the log holds nothing but a checkpoint.
 func TestEverythingRestartsFromACheckpoint(t *testing.T) {
 	is := is.New(t)
-	n := tNet(t, 3, 2)
-	n.publish("a", seed)
+	n := newTestNetFor(t, 3, 2)
+	n.publish("a", baseConfig)
 	n.converge(10 * time.Second)
 	data, err := CheckpointRecord(n.nodes[0].w.Config.State, "test", false)
 	is.NoErr(err)
--- a/internal/system/topology_test.go
+++ b/internal/system/topology_test.go
@@ -18,7 +18,7 @@
 // late, behind daemons that each took seconds for a version.
 func TestNarrowLinksReadAndRelayNothing(t *testing.T) {
 	is := is.New(t)
-	n := tNet(t, 2, 20)
+	n := newTestNetFor(t, 2, 20)
 	rng := rand.New(rand.NewPCG(1, 1))
 	narrow := map[string]bool{}
 	for i, node := range n.nodes {
--- a/internal/system/upstream_test.go
+++ b/internal/system/upstream_test.go
@@ -16,7 +16,7 @@
 // its restart under the same name.
 func TestUpstreamLife(t *testing.T) {
 	is := is.New(t)
-	n := tNet(t, 1, 1)
+	n := newTestNetFor(t, 1, 1)
 	n.publish("a", "put service s ramp 2s")
 	n.converge(5 * time.Second)
 	w := n.nodes[0].w
