--- a/internal/system/rollouts_test.go
+++ b/internal/system/rollouts_test.go
@@ -21,7 +21,7 @@
 // rolloutService is the service that the tests roll out.
 const rolloutService = "s"
 
-// serveRollouts is the store as daemons use it for roll-outs.
+// serveRollouts carries out what a tick asked of the store's rollout records.
 func (n *testNet) serveRollouts(node *testNode, out Outbox) {
 	ctx := context.Background()
 	read := func() (RolloutsRead, uint64) {
@@ -71,34 +71,35 @@
 	return true
 }
 
-// rolloutNet is a roll-out in a net with traffic.
+// rolloutNet is a testNet with traffic, in which a service is rolled out.
 type rolloutNet struct {
 	n     *testNet
 	rng   *rand.Rand
 	views map[*testNode]*view.View
-	// failureRate is the part of the new version's answers that fail, from the time badFrom on.
+	// failureRate is the fraction of calls that the new version fails, from failingFrom on.
 	failureRate float64
 	failingFrom time.Time
 	order       rollout.Order
 	orderedAt   time.Time
-	// calls counts those to the service since the order, exposed those to the new
-	// version, and staleCalls those to the other version after the roll-out was completed.
+	// calls counts the calls to the service since the order, exposed those of them to the
+	// new version, and staleCalls those to the old version after the rollout completed.
 	calls, exposed, staleCalls int
-	// routes is how many lead to the service.
+	// routes is the number of routes to the service.
 	routes int
-	// newVersionUp is set once upstreams of it are there.
+	// newVersionUp is set while upstreams of the new version announce themselves.
 	newVersionUp bool
+	// nextAnnounce is when the upstreams next announce themselves.
 	nextAnnounce time.Time
 }
 
 const (
-	// callsPerTick is how many calls enter at each daemon in a step of 20 ms.
+	// callsPerTick is how many calls enter at each daemon per tick interval.
 	callsPerTick = 1
-	// baselineFailureRate is the part of all answers that fails anyway.
+	// baselineFailureRate is the fraction of calls that fail with any version.
 	baselineFailureRate = 0.01
 )
 
-// newRolloutNet returns a net whose daemons each have an upstream of version v1.
+// newRolloutNet returns a network whose daemons each have an upstream of version v1.
 func newRolloutNet(t *testing.T, number uint64, domains, perDomain int) *rolloutNet {
 	r := &rolloutNet{n: newTestNetFor(t, domains, perDomain), rng: rand.New(rand.NewPCG(number, number)), views: map[*testNode]*view.View{}, routes: 1}
 	r.n.publish("seed", baseConfig)
@@ -108,7 +109,7 @@
 	return r
 }
 
-// announce renews the upstreams of all daemons.
+// announce announces the upstreams of all daemons.
 func (r *rolloutNet) announce() {
 	r.nextAnnounce = r.n.now.Add(time.Second)
 	for _, node := range r.n.nodes {
@@ -125,7 +126,8 @@
 	}
 }
 
-// orderRollout orders the roll-out: every root reads it, a little later the upstreams are there.
+// orderRollout orders a rollout to v2 and announces the upstreams of v2. The roots read the
+// order.
 func (r *rolloutNet) orderRollout(d time.Duration) {
 	r.orderedAt = r.n.now
 	r.order = rollout.Order{ID: r.order.ID + 1, Service: rolloutService, Target: "v2", Duration: d}
@@ -133,7 +135,7 @@
 	r.announce()
 }
 
-// run lets time pass, with traffic.
+// run advances the time, with traffic.
 func (r *rolloutNet) run(d time.Duration) {
 	for end := r.n.now.Add(d); r.n.now.Before(end); {
 		if !r.n.now.Before(r.nextAnnounce) {
@@ -153,7 +155,7 @@
 	}
 }
 
-// traffic lets calls enter at a daemon, as its call path carries them.
+// traffic runs the calls that enter at a daemon in a tick, as the call path does.
 func (r *rolloutNet) traffic(node *testNode) {
 	if r.views[node] == nil || node.viewOutdated {
 		r.views[node] = view.Build(node.w, r.views[node])
@@ -176,12 +178,12 @@
 		}
 		u := list[r.rng.IntN(len(list))]
 		r.count(node, u)
-		fails := baselineFailureRate
+		failureRate := baselineFailureRate
 		if u.Version == "v2" && !r.failingFrom.IsZero() && !r.n.now.Before(r.failingFrom) {
-			fails = r.failureRate
+			failureRate = r.failureRate
 		}
 		if s.Split != nil {
-			s.Split.Note(r.n.now, view.Ran{Route: fmt.Sprint("route-", r.rng.IntN(r.routes)), Upstream: u, Failed: r.rng.Float64() < fails, Took: time.Millisecond})
+			s.Split.Note(r.n.now, view.Ran{Route: fmt.Sprint("route-", r.rng.IntN(r.routes)), Upstream: u, Failed: r.rng.Float64() < failureRate, Took: time.Millisecond})
 		}
 	}
 }
@@ -201,24 +203,24 @@
 	}
 }
 
-// finalPhase returns how the roll-out has finalPhase on all daemons, or says which differs.
+// finalPhase returns the phase of the rollout, and fails unless all daemons agree on it.
 func (r *rolloutNet) finalPhase(t *testing.T) rollout.Phase {
 	t.Helper()
 	var phase rollout.Phase
 	for i, node := range r.n.nodes {
 		ro := node.w.Rollouts[rolloutService]
 		if ro == nil {
-			t.Fatalf("%s knows no roll-out", node.id)
+			t.Fatalf("%s has no record of the rollout", node.id)
 		}
 		if i > 0 && ro.Phase != phase {
-			t.Fatalf("%s: %s, others %s", node.id, ro.Phase, phase)
+			t.Fatalf("%s is in phase %s, other daemons in %s", node.id, ro.Phase, phase)
 		}
 		phase = ro.Phase
 	}
 	return phase
 }
 
-// exposureLimit is how many calls a bad version may get.
+// exposureLimit returns how many calls a bad version may get.
 func (r *rolloutNet) exposureLimit() int { return r.calls/10 + 50 }
 
 func TestGoodVersionIsCompletedInTime(t *testing.T) {
@@ -229,11 +231,11 @@
 	is.Equal(r.finalPhase(t), rollout.Completed)
 	is.Equal(r.staleCalls, 0)
 	is.Equal(r.n.published[len(r.n.published)-1].Phase, rollout.Completed)
-	is.True(len(r.n.agreed) == 3) // each phase once
+	is.True(len(r.n.agreed) == 3) // each phase is agreed once
 }
 
-// TestBadVersionIsExposedNoMoreThanAllowed plays versions that are bad from the start and
-// from later on.
+// TestBadVersionIsExposedNoMoreThanAllowed rolls out versions that fail from the start, or
+// begin to fail later: each must be reverted before it gets more calls than allowed.
 func TestBadVersionIsExposedNoMoreThanAllowed(t *testing.T) {
 	for seed := range uint64(6) {
 		is := is.New(t)
@@ -242,16 +244,16 @@
 		r.failureRate, r.failingFrom = 0.3+0.1*float64(seed), r.orderedAt.Add(time.Duration(seed)*500*time.Millisecond)
 		r.run(12 * time.Second)
 		is.Equal(r.finalPhase(t), rollout.Reverted)
-		t.Logf("seed %d: %d of %d calls went to the bad version, %d allowed; %s", seed, r.exposed, r.calls, r.exposureLimit(), r.n.nodes[0].w.Rollouts[rolloutService].Why)
+		t.Logf("seed %d: %d of %d calls went to the bad version, limit %d; %s", seed, r.exposed, r.calls, r.exposureLimit(), r.n.nodes[0].w.Rollouts[rolloutService].Why)
 		is.True(r.exposed <= r.exposureLimit())
 		before := r.exposed
 		r.run(5 * time.Second)
-		is.Equal(r.exposed, before) // and none ever after
+		is.Equal(r.exposed, before) // none after the revert
 	}
 }
 
-// TestNewVersionWithoutAnOrderIsServed lets upstreams of another version appear, as in a
-// plain replacement.
+// TestNewVersionWithoutAnOrderIsServed announces upstreams of another version without a
+// rollout order: they must get calls once an order would have arrived.
 func TestNewVersionWithoutAnOrderIsServed(t *testing.T) {
 	is := is.New(t)
 	r := newRolloutNet(t, 1, 2, 3)
@@ -259,27 +261,29 @@
 	r.announce()
 	split := func() bool { return r.views[r.n.nodes[0]].Services[rolloutService].Split != nil }
 	r.run(time.Second)
-	is.True(split()) // an order may be on its way
+	is.True(split()) // an order may still arrive
 	r.run(testParams().InForce)
 	is.True(!split())
 	is.Equal(len(r.views[r.n.nodes[0]].Services[rolloutService].Upstreams), 12)
 }
 
-// TestOrderForAVersionThatNobodyRuns is reverted, and calls are served as before.
-func TestOrderForAVersionThatNobodyRuns(t *testing.T) {
+// TestOrderForAbsentVersionIsReverted orders a version that no upstream runs: the rollout must
+// be reverted and the old version must keep serving.
+func TestOrderForAbsentVersionIsReverted(t *testing.T) {
 	is := is.New(t)
 	r := newRolloutNet(t, 1, 2, 3)
 	r.orderRollout(6 * time.Second)
 	r.newVersionUp = false
 	for _, node := range r.n.nodes {
-		node.inputs = nil // as if they had never come
+		node.inputs = nil // the announcements of v2 are lost
 	}
 	r.run(6 * time.Second)
 	is.Equal(r.finalPhase(t), rollout.Reverted)
 	is.Equal(r.exposed, 0)
 }
 
-// TestSecondOrderBarsTheFirstVersion gives an order while another runs.
+// TestSecondOrderBarsTheFirstVersion orders another version during a rollout: the version of
+// the first order must get no more calls.
 func TestSecondOrderBarsTheFirstVersion(t *testing.T) {
 	is := is.New(t)
 	r := newRolloutNet(t, 1, 2, 3)
@@ -297,8 +301,9 @@
 	}
 }
 
-// TestMalformedNewsOfRolloutsChangeNothing sends what no daemon would.
-func TestMalformedNewsOfRolloutsChangeNothing(t *testing.T) {
+// TestMalformedRolloutMessagesAreIgnored sends states and tallies that no daemon would send:
+// they must not change the rollout.
+func TestMalformedRolloutMessagesAreIgnored(t *testing.T) {
 	is := is.New(t)
 	r := newRolloutNet(t, 1, 1, 3)
 	r.orderRollout(12 * time.Second)
@@ -331,10 +336,10 @@
 	}
 }
 
-// TestRolloutsUnderFaults plays roll-outs of good and bad versions while daemons are
-// killed, failure domains are cut off, and the store is down: a bad version is never
-// completed nor gets more than its part, all daemons end with the same, and phases only go
-// forward.
+// TestRolloutsUnderFaults rolls out good and bad versions while daemons are killed, failure
+// domains are partitioned, or the store fails. A bad version must neither complete nor get
+// more calls than allowed, all daemons must agree on the final phase, and the agreed phases
+// must only move forward.
 func TestRolloutsUnderFaults(t *testing.T) {
 	faults := []string{"none", "kill-deciders", "cut", "store-down", "store-loses", "all-restart"}
 	for seed := range uint64(4 * len(faults)) {
@@ -390,41 +395,41 @@
 	r.run(20 * time.Second)
 	phase := r.finalPhase(t)
 	if bad && phase != rollout.Reverted {
-		t.Errorf("a bad version is %s", phase)
+		t.Errorf("phase of the bad version: got %s, want reverted", phase)
 	}
 	if bad && r.exposed > r.exposureLimit() {
-		t.Errorf("%d of %d calls went to a bad version", r.exposed, r.calls)
+		t.Errorf("%d of %d calls went to the bad version, more than allowed", r.exposed, r.calls)
 	}
 	if !bad && phase != rollout.Completed {
-		t.Errorf("a good version is %s: %s", phase, n.nodes[0].w.Rollouts[rolloutService].Why)
+		t.Errorf("phase of the good version: got %s, want completed: %s", phase, n.nodes[0].w.Rollouts[rolloutService].Why)
 	}
 	for i := 1; i < len(n.agreed); i++ {
 		if !n.agreed[i].Follows(n.agreed[i-1]) {
-			t.Errorf("%s was agreed after %s", n.agreed[i].Phase, n.agreed[i-1].Phase)
+			t.Errorf("phase %s was agreed after %s", n.agreed[i].Phase, n.agreed[i-1].Phase)
 		}
 	}
 }
 
-// TestRolloutCostsFewBytes measures what daemons send for a roll-out of a service with more
-// routes than are counted apart, before compression, beside the 22 KB a second that control
-// may take.
+// TestRolloutCostsFewBytes guards against rollouts that exceed the control traffic of a
+// daemon, 22 KB/s. It measures the bytes sent before compression, for a service with more
+// routes than are counted separately.
 func TestRolloutCostsFewBytes(t *testing.T) {
-	const most, lasts = 22_000, 6 * time.Second
+	const maxBytesPerSecond, duration = 22_000, 6 * time.Second
 	for _, size := range []struct{ domains, perDomain int }{{3, 5}, {3, 23}, {7, 19}} {
 		r := newRolloutNet(t, 1, size.domains, size.perDomain)
 		r.routes = 10
-		r.orderRollout(2 * lasts)
+		r.orderRollout(2 * duration)
 		r.n.sentBytes = map[string]int{}
-		r.run(lasts)
+		r.run(duration)
 		sum, busiest := 0, 0
 		for _, n := range r.n.sentBytes {
 			sum += n
 			busiest = max(busiest, n)
 		}
-		perSecond := func(n int) int { return int(float64(n) / lasts.Seconds()) }
-		t.Logf("%d daemons: %d bytes a second in the mean, %d the busiest", len(r.n.nodes), perSecond(sum/len(r.n.nodes)), perSecond(busiest))
-		if perSecond(busiest) > most {
-			t.Errorf("%d daemons: %d bytes a second", len(r.n.nodes), perSecond(busiest))
+		perSecond := func(n int) int { return int(float64(n) / duration.Seconds()) }
+		t.Logf("%d daemons: %d bytes/s in the mean, %d by the busiest", len(r.n.nodes), perSecond(sum/len(r.n.nodes)), perSecond(busiest))
+		if perSecond(busiest) > maxBytesPerSecond {
+			t.Errorf("%d daemons: the busiest sends %d bytes/s, more than allowed", len(r.n.nodes), perSecond(busiest))
 		}
 	}
 }
--- a/internal/system/seek_test.go
+++ b/internal/system/seek_test.go
@@ -10,8 +10,9 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// TestFirstAddressesAreDialedAtOnce restarts a daemon: until it has met somebody
-// it refuses calls, so it must not wait for the next round of its search.
+// TestFirstAddressesAreDialedAtOnce starts a daemon. It refuses calls until it has reached
+// another daemon, so it must dial the first addresses it finds at once instead of at the next
+// regular attempt.
 func TestFirstAddressesAreDialedAtOnce(t *testing.T) {
 	is := is.New(t)
 	w := documentWorld()
@@ -22,10 +23,10 @@
 	is.Equal(len(out.Dials), 2)
 }
 
-// TestOnlyRootsLookForOtherIslands lets a daemon settle in a tree: there its
-// root asks the store whether there are others. With 74 daemons the questions
-// of all of them were two thirds of the calls of a quiet day.
-func TestOnlyRootsLookForOtherIslands(t *testing.T) {
+// TestOnlyRootsLookForOtherPartitions guards against needless calls to the store: of the
+// daemons in a tree, only the roots may look there for daemons outside of it. When all 74
+// daemons of a deployment did, that was two thirds of the store's calls on a quiet day.
+func TestOnlyRootsLookForOtherPartitions(t *testing.T) {
 	for _, c := range []struct {
 		rank int
 		asks bool
@@ -42,27 +43,28 @@
 	}
 }
 
-// TestRootThatLostTheFirstReadsLikeIt cuts the first root of a failure domain
-// off. The next one hears from nobody then, and the store does not wake those
-// who wait while it drops its history.
-func TestRootThatLostTheFirstReadsLikeIt(t *testing.T) {
-	const inForce = 2500 * time.Millisecond // the shortest bound on a change of the larger deployments
+// TestRootWithoutParentReadsLikeFirstRoot takes the first root of a failure domain away. The
+// next root then gets no changes from a parent, and the store does not wake waiting reads
+// while it drops its history: its reads must become as short as those of the first root.
+func TestRootWithoutParentReadsLikeFirstRoot(t *testing.T) {
+	const inForce = 2500 * time.Millisecond // the shortest bound on a change in the larger deployments
 	is := is.New(t)
 	w := documentWorld()
 	w.Params.InForce = inForce
 	w.MembersTree = table.Tree{Rank: 1, Parent: "first"}
-	is.True(documentWait(w) < inForce) // a read that waits when the first is lost
+	is.True(documentWait(w) < inForce) // also for a read that is waiting when the parent is lost
 	first := documentWorld()
 	first.Params.InForce = inForce
 	first.MembersTree = table.Tree{Root: true}
 	w.MembersTree.Parent = ""
 	is.Equal(documentWait(w), documentWait(first))
-	is.True(documentWait(first) < inForce/2) // what it may miss has time left to travel
+	is.True(documentWait(first) < inForce/2) // leaves time to distribute a change that a read missed
 }
 
-// TestReadsFollowTheBoundOfTheDeployment: a change may take 2 s here and 15 s there, and
-// each read that ends without one is a call to the store for nothing.
-func TestReadsFollowTheBoundOfTheDeployment(t *testing.T) {
+// TestReadWaitFollowsInForceBound guards against needless calls to the store: the time in
+// which a change must be in force differs between deployments, from 2 s to 15 s, and each
+// read that ends without a change is a wasted call.
+func TestReadWaitFollowsInForceBound(t *testing.T) {
 	is := is.New(t)
 	w := documentWorld()
 	w.Params.InForce = 15 * time.Second
@@ -71,9 +73,10 @@
 	is.Equal(documentWait(w), longestWait)
 }
 
-// TestOnlyChangedAddressesAreLeftOnTheLog: most daemons start again where they were, and
-// of 1,800 calls to the store on a day with two losses of power 300 said so again.
-func TestOnlyChangedAddressesAreLeftOnTheLog(t *testing.T) {
+// TestOnlyChangedAddressesArePublished guards against needless calls to the store: most
+// daemons restart with the addresses that the log already lists. On a day with two losses of
+// power, 300 of 1,800 calls to the store published such addresses again.
+func TestOnlyChangedAddressesArePublished(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		in    []Input
@@ -92,15 +95,15 @@
 			w := documentWorld()
 			now := w.Started.Add(c.after)
 			is.Equal(Tick(w, now, c.in).PublishSelf, c.want)
-			is.True(!Tick(w, now, nil).PublishSelf) // and not again
+			is.True(!Tick(w, now, nil).PublishSelf) // not a second time
 		})
 	}
 }
 
-// TestFewOfAFleetLeaveTheirAddressesOnTheLog covers the second look: those who start first
-// leave theirs, others do only if they read the configuration from the log, where whoever
-// starts finds them.
-func TestFewOfAFleetLeaveTheirAddressesOnTheLog(t *testing.T) {
+// TestFewDaemonsPublishTheirAddresses covers the second look at the log. The daemons that
+// start first publish their addresses. The others do so only if they read the configuration
+// from the log, so that a starting daemon finds those.
+func TestFewDaemonsPublishTheirAddresses(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		second []Input
@@ -115,7 +118,7 @@
 			w := documentWorld()
 			w.Members["first"] = &table.Member{Member: wire.Member{ID: "first", Domain: "d", Peer: "first", LinkMbps: 1000}, Heard: w.Started}
 			w.Links[1] = &table.Link{ID: 1, Peer: "first", Domain: "d", HeardAt: w.Started, EchoAt: w.Started}
-			w.Self.LinkMbps = 1 // it is no root
+			w.Self.LinkMbps = 1 // too narrow a link to be a root
 			w.MembersChanged()
 			w.Params.Roots = 1
 			now := w.Started
@@ -134,7 +137,7 @@
 			now = now.Add(settleGraces * w.Params.Grace)
 			w.Links[1].HeardAt, w.Links[1].EchoAt = now, now
 			is.True(!Tick(w, now, nil).PublishSelf)
-			delete(w.Members, "first") // now it reads the log
+			delete(w.Members, "first") // without it, this daemon reads the log
 			delete(w.Links, 1)
 			w.MembersChanged()
 			is.True(Tick(w, now.Add(w.Params.Heartbeat), nil).PublishSelf)
@@ -143,11 +146,10 @@
 	}
 }
 
-// TestIslandsAfterAColdStartJoin starts two pairs of daemons that know only
-// each other, and probes that are an hour away. Addresses that the log gives
-// must join them: a service whose only upstream is on the other island would
-// be refused until then.
-func TestIslandsAfterAColdStartJoin(t *testing.T) {
+// TestPartitionsAfterColdStartMerge starts two pairs of daemons that know only each other,
+// with probes an hour away. Addresses from the log must join the two: until then, calls to a
+// service whose only upstream is in the other pair are refused.
+func TestPartitionsAfterColdStartMerge(t *testing.T) {
 	n := newTestNetFor(t, 2, 2)
 	for i, node := range n.nodes {
 		other := n.nodes[i^1]
@@ -158,13 +160,13 @@
 	}
 	n.run(2 * time.Second)
 	if len(n.nodes[0].w.Members) != 1 {
-		t.Fatal("the islands have met already")
+		t.Fatal("the pairs of daemons are already connected")
 	}
 	n.nodes[3].inputs = append(n.nodes[3].inputs, SeedsFound{Addrs: []string{"d0-0", "d0-1", "d1-0", "d1-1"}})
 	n.run(4 * time.Second)
 	for _, node := range n.nodes {
 		if len(node.w.Members) != 3 {
-			t.Errorf("%s knows %d others, want 3", node.id, len(node.w.Members))
+			t.Errorf("%s: got records of %d other daemons, want 3", node.id, len(node.w.Members))
 		}
 	}
 }
--- a/internal/system/start_test.go
+++ b/internal/system/start_test.go
@@ -11,26 +11,29 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// startupCosts counts what a start of everything costs each daemon.
+// startupCosts simulates the store during a cold start of all daemons, and counts what the
+// start costs each daemon.
 type startupCosts struct {
-	cost      map[string]*startCost
+	cost map[string]*startCost
+	// published holds the IDs of the daemons whose addresses the store has appended.
 	published []string
 	// document is what the store holds.
-	document   config.Document
+	document config.Document
+	// nextAppend is when the last of the appends is done.
 	nextAppend time.Time
 	appends    []addressAppend
 }
 
-// addressAppend is an append of a daemon's addresses, which the store takes one at a time.
+// addressAppend is an append of a daemon's addresses. The store carries out one at a time.
 type addressAppend struct {
 	at   time.Time
 	node *testNode
 }
 
-// startCost is what a start costs one daemon.
+// startCost is the cost of a cold start for one daemon.
 type startCost struct {
 	records, pulls, messages, dials int
-	// finds and reads are questions to the store.
+	// finds and reads are requests to the store: for addresses, and for the configuration.
 	finds, reads int
 	nextRead     time.Time
 }
@@ -79,7 +82,7 @@
 }
 
 // startFleet starts n daemons in five failure domains at once, with the settings of the
-// users' platform, and returns what that costs until all know each other.
+// production platform, and returns what that costs and takes until all know each other.
 func startFleet(t testing.TB, n int) (*startupCosts, time.Duration) {
 	const domains = 5
 	net := &testNet{
@@ -110,47 +113,48 @@
 			return net.startup, net.now.Sub(began)
 		}
 	}
-	t.Fatalf("%d daemons do not all know each other", n)
+	t.Fatalf("%d daemons do not all know each other after 30 s", n)
 	return nil, 0
 }
 
-// TestAStartOfEverythingCostsEachDaemonLittleMoreThanItsTable starts fleets of n and of 4n
-// daemons: what a daemon passes on, which is most of what a start costs, may grow by n log n,
-// as news on a tree does; what it asks others for, and the store, by no more than log n. When
-// each comparison of tables sent all that might differ, it was n to the 1.4.
-func TestAStartOfEverythingCostsEachDaemonLittleMoreThanItsTable(t *testing.T) {
+// TestColdStartCostPerDaemon guards against cold starts whose cost per daemon grows too fast
+// with the size of the fleet. It starts fleets of n and of 4n daemons. The records that a
+// daemon forwards, which are most of the cost, may grow by n log n, as for any broadcast over
+// a tree; its requests to other daemons and to the store by no more than log n. When each
+// comparison of tables sent everything that might differ, the cost grew by n to the 1.4.
+func TestColdStartCostPerDaemon(t *testing.T) {
 	const small, large = 60, 4 * 60
-	logs := math.Log(large) / math.Log(small)
-	few, _ := startFleet(t, small)
-	many, took := startFleet(t, large)
-	t.Logf("%d daemons know each other after %v", large, took)
+	logRatio := math.Log(large) / math.Log(small)
+	smallCosts, _ := startFleet(t, small)
+	largeCosts, took := startFleet(t, large)
+	t.Logf("%d daemons all know each other after %v", large, took)
 	for _, c := range []struct {
-		name  string
-		of    func(startCost) int
-		times float64
+		name      string
+		of        func(startCost) int
+		maxGrowth float64
 	}{
-		{"records passed on", func(c startCost) int { return c.records }, large / small * logs},
-		{"comparisons of tables", func(c startCost) int { return c.pulls }, logs},
-		{"connections opened", func(c startCost) int { return c.dials }, logs},
-		{"messages", func(c startCost) int { return c.messages }, logs},
-		{"questions to the store", func(c startCost) int { return c.finds + c.reads }, logs},
+		{"records forwarded", func(c startCost) int { return c.records }, large / small * logRatio},
+		{"comparisons of tables", func(c startCost) int { return c.pulls }, logRatio},
+		{"connections opened", func(c startCost) int { return c.dials }, logRatio},
+		{"messages", func(c startCost) int { return c.messages }, logRatio},
+		{"requests to the store", func(c startCost) int { return c.finds + c.reads }, logRatio},
 	} {
-		a, b := few.mean(c.of), many.mean(c.of)
-		t.Logf("%s: %.1f and %.1f, %.2f times (%.2f may be)", c.name, a, b, b/a, c.times)
-		if b > a*c.times {
-			t.Errorf("%s of a daemon: %.1f of %d, %.1f of %d", c.name, a, small, b, large)
+		a, b := smallCosts.mean(c.of), largeCosts.mean(c.of)
+		t.Logf("%s: %.1f and %.1f, %.2f times (limit %.2f)", c.name, a, b, b/a, c.maxGrowth)
+		if b > a*c.maxGrowth {
+			t.Errorf("%s per daemon grow too fast: %.1f with %d daemons, %.1f with %d", c.name, a, small, b, large)
 		}
 	}
-	if listed := len(many.published); listed > 3*enoughListed {
-		t.Errorf("%d of %d daemons leave their addresses in the store", listed, large)
+	if listed := len(largeCosts.published); listed > 3*enoughListed {
+		t.Errorf("%d of %d daemons published their addresses in the store, want fewer", listed, large)
 	}
 }
 
-// mean returns the mean over all daemons.
+// mean returns the mean of a cost over all daemons.
 func (s *startupCosts) mean(of func(startCost) int) float64 {
-	sum := 0
+	total := 0
 	for _, c := range s.cost {
-		sum += of(*c)
+		total += of(*c)
 	}
-	return float64(sum) / float64(len(s.cost))
+	return float64(total) / float64(len(s.cost))
 }
--- a/internal/system/storm_bench_test.go
+++ b/internal/system/storm_bench_test.go
@@ -10,11 +10,12 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// stormRoutes is the size of a configuration of the larger deployments: some
-// 250 KB as a document.
+// stormRoutes is the number of routes in the larger deployments, whose configuration
+// documents have some 250 KB.
 const stormRoutes = 1700
 
-// nextDocument returns a document that differs from doc in one route's policy.
+// nextDocument returns the document of a later version, in which one route has another
+// policy.
 func nextDocument(doc config.Document) config.Document {
 	next := config.Document{Version: doc.Version + 3, Content: config.NewContent()}
 	next.Content.Services = doc.Content.Services
@@ -34,9 +35,9 @@
 	return next
 }
 
-// BenchmarkStorm measures what one version of a long storm costs the reader,
-// which passes it to 8 children, and one child: everything between the decoded
-// document and the view of the call path.
+// BenchmarkStorm measures what one version costs in a long storm of changes, from the decoded
+// document to the view of the call path: for the daemon that reads it from the store and
+// forwards it to 8 children, and for one of these children.
 func BenchmarkStorm(b *testing.B) {
 	at := time.Unix(1001, 0)
 	reader, child := documentWorld(), documentWorld()
@@ -71,7 +72,7 @@
 			}
 		}
 		if last.Version != doc.Version {
-			b.Fatal("no delta was sent")
+			b.Fatal("reader sent no delta of the new version")
 		}
 		began = time.Now()
 		var childOut Outbox
@@ -79,7 +80,7 @@
 		childView = view.Build(child, childView)
 		childTime += time.Since(began)
 		if child.Config.State.Hash != reader.Config.State.Hash {
-			b.Fatal("the child holds something else")
+			b.Fatal("hash of the child's state differs from the reader's")
 		}
 	}
 	b.ReportMetric(float64(readerTime.Microseconds())/float64(b.N), "µs/reader")
--- a/internal/system/storm_test.go
+++ b/internal/system/storm_test.go
@@ -12,14 +12,14 @@
 	"github.com/comfreygate/comfreygate/internal/view"
 )
 
-// TestVersionCostsWhatItChanges puts one version after the other in force on a
-// daemon that holds 1,700 routes, as in a storm of changes: what is not changed
-// must be taken over, not made again. Allocations stand for processor time,
-// since they do not depend on the machine: marshalling, hashing and indexing
-// every route took some 24,000 a version, and 4.8 ms.
-func TestVersionCostsWhatItChanges(t *testing.T) {
-	// Copying the table of routes takes one for each.
-	const mostAllocs = stormRoutes + 300
+// TestVersionReusesUnchangedRoutes guards against versions that cost as much as the whole
+// configuration, as in a storm of changes. It puts successive versions in force on a daemon
+// that holds 1,700 routes: unchanged routes must be reused, not built again. Allocations stand
+// for processor time, since they do not depend on the machine: marshalling, hashing and
+// indexing every route took some 24,000 of them per version, and 4.8 ms.
+func TestVersionReusesUnchangedRoutes(t *testing.T) {
+	// Copying the table of routes takes one allocation for each route.
+	const maxAllocs = stormRoutes + 300
 	is := is.New(t)
 	at := time.Unix(1001, 0)
 	sender, receiver := documentWorld(), documentWorld()
@@ -27,36 +27,36 @@
 	Tick(sender, at, []Input{DocumentRead{Document: doc}})
 	Tick(receiver, at, []Input{DocumentRead{Document: doc}})
 	inForce := view.Build(receiver, nil)
-	step := func() {
+	applyNext := func() {
 		doc = nextDocument(doc)
 		before := sender.Config.State.Version
 		Tick(sender, at, []Input{DocumentRead{Document: doc}})
 		d, ok := delta(sender, before)
 		is.True(ok)
-		var started, ended runtime.MemStats
-		runtime.ReadMemStats(&started)
+		var statsBefore, statsAfter runtime.MemStats
+		runtime.ReadMemStats(&statsBefore)
 		var out Outbox
 		receiveDelta(receiver, at, &table.Link{ID: 1, Peer: "p"}, d, &out)
 		inForce = view.Build(receiver, inForce)
-		runtime.ReadMemStats(&ended)
+		runtime.ReadMemStats(&statsAfter)
 		is.Equal(inForce.Version, doc.Version)
-		is.True(ended.Mallocs-started.Mallocs < mostAllocs)
+		is.True(statsAfter.Mallocs-statsBefore.Mallocs < maxAllocs)
 	}
-	kept, _ := inForce.Match("h", "/r3/")
+	routeBefore, _ := inForce.Match("h", "/r3/")
 	for range 3 {
-		step()
+		applyNext()
 	}
-	still, _ := inForce.Match("h", "/r3/")
+	routeAfter, _ := inForce.Match("h", "/r3/")
 	changed, _ := inForce.Match("h", "/r7/")
-	is.True(still == kept) // taken over, with where its shares have got to
+	is.True(routeAfter == routeBefore) // reused, with the state of its split between shares
 	is.Equal(changed.Policy.Timeout, time.Duration(doc.Version)*time.Millisecond)
 	receiver.MembersChanged()
 	is.True(view.Build(receiver, inForce).Routes == inForce.Routes)
 }
 
-// TestRevisedPolicyReachesRoutesThatStay changes a policy under an unchanged
-// route: the route must not be taken over as it was.
-func TestRevisedPolicyReachesRoutesThatStay(t *testing.T) {
+// TestChangedPolicyReachesUnchangedRoutes changes a policy of a route that itself does not
+// change: the route must not be reused with the old policy.
+func TestChangedPolicyReachesUnchangedRoutes(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1001, 0)
 	w := documentWorld()
--- a/internal/system/suspects_test.go
+++ b/internal/system/suspects_test.go
@@ -13,33 +13,33 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// noSuspects is an empty table of suspects.
+// noSuspects returns an empty table of suspects.
 func noSuspects() *suspect.Table {
 	return suspect.NewTable(func() time.Time { return time.Unix(1000, 0) })
 }
 
-// quarantine lets a daemon see three ends under a request.
+// quarantine records three crashes at a daemon that a request was running in.
 func quarantine(node *testNode, d suspect.Digest) {
 	for e := range suspect.Enough {
 		node.w.Suspects.Charge(d, suspect.End(100*uint64(d)+uint64(e)))
 	}
 }
 
-// countQuarantining counts the live daemons that hold a request in quarantine.
+// countQuarantining returns how many running daemons have a request in quarantine.
 func (n *testNet) countQuarantining(d suspect.Digest) int {
-	know := 0
+	count := 0
 	for _, node := range n.nodes {
 		if node.alive && node.w.Suspects.Ends(d) >= suspect.Enough {
-			know++
+			count++
 		}
 	}
-	return know
+	return count
 }
 
-// TestQuarantineReachesAllAndOutlastsThem lets one daemon see three ends. All others must
-// know at once, those that start again must be told by the others, and when all have ended
-// the store must tell them.
-func TestQuarantineReachesAllAndOutlastsThem(t *testing.T) {
+// TestQuarantineReachesAllAndSurvivesRestarts puts a request in quarantine at one daemon. All
+// others must get the record at once, restarted daemons must get it from the others, and after
+// a restart of all daemons they must get it from the store.
+func TestQuarantineReachesAllAndSurvivesRestarts(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 3, 4)
 	n.publish("seed", baseConfig)
@@ -65,10 +65,10 @@
 	is.Equal(n.countQuarantining(1), len(n.nodes))
 }
 
-// TestQuarantineCrossesCutsThroughTheStore cuts each failure domain off from the others.
-// Only the store is left, and tells all; where a domain has lost that as well it learns it
-// when either comes back.
-func TestQuarantineCrossesCutsThroughTheStore(t *testing.T) {
+// TestQuarantineCrossesPartitionsThroughTheStore partitions each failure domain from the
+// others. The record must reach all through the store; a domain that cannot reach the store
+// either must get it when it reaches the store or the others again.
+func TestQuarantineCrossesPartitionsThroughTheStore(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 3, 4)
 	n.publish("seed", baseConfig)
@@ -88,24 +88,25 @@
 	n.storeUnreachable["d2"] = false
 	n.run(4 * time.Second)
 	is.Equal(n.countQuarantining(2), len(n.nodes))
-	// An answer somewhere ends it everywhere, also on the store.
+	// An answer at one daemon clears the request everywhere, also in the store.
 	n.partitions = map[string]bool{}
 	n.run(4 * time.Second)
 	n.nodes[11].w.Suspects.Answered(2)
 	n.run(4 * time.Second)
 	is.Equal(n.countQuarantining(2), 0)
 	is.Equal(n.countQuarantining(1), len(n.nodes))
-	kept := 0
+	quarantined := 0
 	for _, r := range n.storedQuarantine() {
 		if r.Quarantined() {
-			kept++
+			quarantined++
 		}
 	}
-	is.Equal(kept, 1)
+	is.Equal(quarantined, 1)
 }
 
-// TestOutOfDateQuarantineLeavesTheStore: a record that nobody needs any more is dropped.
-func TestOutOfDateQuarantineLeavesTheStore(t *testing.T) {
+// TestExpiredQuarantineIsDeletedFromStore guards against records that stay in the store after
+// they have expired.
+func TestExpiredQuarantineIsDeletedFromStore(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 2, 3)
 	n.publish("seed", baseConfig)
@@ -117,8 +118,9 @@
 	is.Equal(len(n.storedQuarantine()), 0)
 }
 
-// TestOneReaderLeavesARecord: the store's calls are dear, and of all readers one writes.
-func TestOneReaderLeavesARecord(t *testing.T) {
+// TestOneReaderWritesEachRecord guards against needless calls to the store, which are
+// expensive: of all daemons that read the store, only one may write a record.
+func TestOneReaderWritesEachRecord(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 4, 4)
 	n.publish("seed", baseConfig)
@@ -130,9 +132,9 @@
 	is.Equal(n.quarantineWrites, 1)
 }
 
-// TestDaemonsOfEarlierReleasesAreSentNothingNew: they would end a connection on which a
-// message comes that they do not know.
-func TestDaemonsOfEarlierReleasesAreSentNothingNew(t *testing.T) {
+// TestEarlierReleasesGetNoSuspects guards against messages that daemons of earlier releases do
+// not know: those close the connection on which such a message arrives.
+func TestEarlierReleasesGetNoSuspects(t *testing.T) {
 	is := is.New(t)
 	w := documentWorld()
 	at := time.Unix(1001, 0)
@@ -154,59 +156,60 @@
 	is.True(got[2] >= 2)
 }
 
-// TestCostOfAnEndInAFleet measures what it takes to tell all daemons of one end with 16
-// runs, of which 15 are cleared, at 95 and at 930 VMs. Aim: a daemon may spend 22 KB a
-// second for control, so the busiest sends no more than that for an end, and all know
-// within 10 steps of a tick and a message.
-func TestCostOfAnEndInAFleet(t *testing.T) {
-	const budget = 22 << 10
-	for _, f := range []struct{ domains, each int }{{5, 19}, {7, 133}} {
-		if testing.Short() && f.each > 100 {
+// TestCrashPropagatesWithinBudget measures the cost of distributing one crash with 16 suspects,
+// of which 15 are cleared afterwards, to 95 and to 931 VMs. A daemon may send 22 KB/s of
+// control traffic: the busiest daemon must send no more than that for the crash, and all
+// daemons must have the record within 10 tick intervals.
+func TestCrashPropagatesWithinBudget(t *testing.T) {
+	const maxBytes = 22 << 10
+	for _, f := range []struct{ domains, perDomain int }{{5, 19}, {7, 133}} {
+		if testing.Short() && f.perDomain > 100 {
 			continue
 		}
-		n := newLargeNet(t, f.domains, f.each)
+		n := newLargeNet(t, f.domains, f.perDomain)
 		n.run(8 * time.Second)
 		n.sentBytes = map[string]int{}
 		node := n.nodes[len(n.nodes)/2]
 		for d := range 16 {
 			node.w.Suspects.Charge(suspect.Digest(d+1), 77)
 		}
-		steps := 0
-		for ; steps < 50 && n.countSuspecting(16) < len(n.nodes); steps++ {
+		ticks := 0
+		for ; ticks < 50 && n.countSuspecting(16) < len(n.nodes); ticks++ {
 			n.run(tickInterval)
 		}
 		for d := range 15 {
 			n.nodes[d].w.Suspects.Answered(suspect.Digest(d + 1))
 		}
 		n.run(time.Second)
-		most, sum := 0, 0
+		busiest, sum := 0, 0
 		for _, b := range n.sentBytes {
-			most = max(most, b)
+			busiest = max(busiest, b)
 			sum += b
 		}
-		t.Logf("%d VMs: known in %d steps; bytes before compression: busiest %d, mean %d", len(n.nodes), steps, most, sum/len(n.nodes))
-		if steps > 10 || most > budget {
-			t.Errorf("%d VMs: known in %d steps, busiest sends %d bytes", len(n.nodes), steps, most)
+		t.Logf("%d VMs: known to all in %d ticks; bytes before compression: busiest %d, mean %d", len(n.nodes), ticks, busiest, sum/len(n.nodes))
+		if ticks > 10 || busiest > maxBytes {
+			t.Errorf("%d VMs: known to all in %d ticks, busiest sends %d bytes: over a limit", len(n.nodes), ticks, busiest)
 		}
 	}
 }
 
-// countSuspecting counts the daemons that know of an end under the request.
+// countSuspecting returns how many daemons have a record of a crash with the request as a
+// suspect.
 func (n *testNet) countSuspecting(d suspect.Digest) int {
-	know := 0
+	count := 0
 	for _, node := range n.nodes {
 		if node.w.Suspects.Ends(d) > 0 {
-			know++
+			count++
 		}
 	}
-	return know
+	return count
 }
 
-// newLargeNet is a fleet with the parameters of the size to design for, whose daemons know each
-// other already.
-func newLargeNet(t *testing.T, domains, each int) *testNet {
+// newLargeNet returns a network whose daemons already know each other. It uses the default
+// parameters, which are those for the largest fleet that the system is designed for.
+func newLargeNet(t *testing.T, domains, perDomain int) *testNet {
 	t.Helper()
-	n := newTestNetFor(t, domains, each)
+	n := newTestNetFor(t, domains, perDomain)
 	for _, node := range n.nodes {
 		p := table.DefaultParams()
 		node.w.Params = p
@@ -222,7 +225,7 @@
 	return n
 }
 
-// storedQuarantine returns the records that the store holds.
+// storedQuarantine returns the records in the store.
 func (n *testNet) storedQuarantine() []suspect.Record {
 	var out []suspect.Record
 	for _, data := range n.quarantineStore {
@@ -235,7 +238,7 @@
 	return out
 }
 
-// writeQuarantine puts a record on the store.
+// writeQuarantine writes a record to the store.
 func (n *testNet) writeQuarantine(r suspect.Record) {
 	b, err := json.Marshal(r)
 	if err != nil {
@@ -246,7 +249,7 @@
 	n.quarantineWrites++
 }
 
-// serveQuarantine does what a tick wants of the store's records.
+// serveQuarantine carries out what a tick asked of the store's quarantine records.
 func (n *testNet) serveQuarantine(node *testNode, out Outbox) {
 	if n.storeUnreachable[node.domain] {
 		return
--- a/internal/system/system_test.go
+++ b/internal/system/system_test.go
@@ -14,22 +14,21 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// baseConfig is a change set that later ones build on.
+// baseConfig holds the commands that create what later changes build on.
 const baseConfig = "put service s; put policy p urgency normal timeout 1s; put caller c; put route r path /r to s policy p callers c"
 
-func TestDaemonsConvergeOnWhatTheLogHolds(t *testing.T) {
+func TestDaemonsConvergeOnTheLog(t *testing.T) {
 	n := newTestNetFor(t, 3, 4)
 	n.run(2 * time.Second)
 	n.publish("a", baseConfig)
 	n.converge(5 * time.Second)
 }
 
-// TestPromisesHoldUnderAnyHistory drives generated histories of restarts,
-// cuts between failure domains, outages, losses and expiry of the log, and
-// publications, and checks at every step that no daemon goes back, that equal
-// places hold equal content, and that every view is consistent; afterwards
-// all daemons must converge.
-func TestPromisesHoldUnderAnyHistory(t *testing.T) {
+// TestInvariantsHoldUnderAnyHistory generates histories of restarts, partitions between
+// failure domains, outages and expiry of the log, and published changes. At each tick, no
+// daemon's version may decrease, equal positions must hold equal content, and every view must
+// be consistent, see checkInvariants. Afterwards all daemons must converge.
+func TestInvariantsHoldUnderAnyHistory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := newTestNet(rt.Fatalf, 3, 3)
 		n.publish("seed", baseConfig)
@@ -74,22 +73,24 @@
 	})
 }
 
-// expireApplied lets the log forget records that some live daemon has applied:
-// retention is hours, reading takes milliseconds.
+// expireApplied drops records from the log that some running daemon has applied, and keeps
+// the last keep of them. Records that nobody has applied stay: retention is hours, while
+// reading takes milliseconds.
 func (n *testNet) expireApplied(keep int) {
 	batch, err := n.log.Read(context.Background(), store.Query{Topic: store.ConfigTopic})
 	if err != nil {
 		return
 	}
-	var read uint64
+	var applied uint64
 	for _, node := range n.nodes {
 		if node.alive {
-			read = max(read, node.w.Config.State.Position)
+			applied = max(applied, node.w.Config.State.Position)
 		}
 	}
-	n.log.Expire(store.ConfigTopic, int(batch.End-read)+keep)
+	n.log.Expire(store.ConfigTopic, int(batch.End-applied)+keep)
 }
 
+// othersAlive returns how many other daemons are running.
 func (n *testNet) othersAlive(node *testNode) int {
 	others := 0
 	for _, o := range n.nodes {
@@ -100,9 +101,10 @@
 	return others
 }
 
-// TestRecordsThatNobodyReadAreMendedByReseed: the log forgets a record before
-// any daemon read it, so that no daemon can go on by itself.
-func TestRecordsThatNobodyReadAreMendedByReseed(t *testing.T) {
+// TestReseedRecoversFromUnreadExpiredRecord drops a record from the log before any daemon has
+// read it. No daemon can continue by itself then: they must keep serving and raise an alarm,
+// until an operator reseeds the log with a checkpoint.
+func TestReseedRecoversFromUnreadExpiredRecord(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 2, 2)
 	n.publish("a", baseConfig)
@@ -112,10 +114,10 @@
 	n.run(10 * time.Second)
 	root := n.nodes[0]
 	is.True(root.w.Alarms[AlarmGap] != "")
-	is.Equal(root.w.Self.Beat.Applied, uint64(1)) // it serves what it held
+	is.Equal(root.w.Self.Beat.Applied, uint64(1)) // it keeps serving what it held
 	end := n.logEnd()
 	n.run(10 * time.Second)
-	is.Equal(n.logEnd(), end) // no checkpoints that nobody can use
+	is.Equal(n.logEnd(), end) // no daemon appends a checkpoint that nobody can use
 
 	data, err := CheckpointRecord(root.w.Config.State, "operator", true)
 	is.NoErr(err)
@@ -127,8 +129,8 @@
 	is.Equal(root.w.Alarms[AlarmGap], "")
 }
 
-// TestReplacedLogIsReseeded: the log loses everything and its offsets begin
-// again. Versions still only grow.
+// TestReplacedLogIsReseeded replaces the log by an empty one whose offsets start at zero. Until
+// it is reseeded, daemons must apply nothing of it; afterwards, versions must still increase.
 func TestReplacedLogIsReseeded(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 2, 3)
@@ -139,7 +141,7 @@
 	n.publish("early", "put service early")
 	n.run(5 * time.Second)
 	for _, node := range n.nodes {
-		is.Equal(node.w.Self.Beat.Applied, uint64(2)) // nothing of the new log yet
+		is.Equal(node.w.Self.Beat.Applied, uint64(2)) // nothing of the new log is applied yet
 	}
 	root := n.nodes[0]
 	data, err := CheckpointRecord(root.w.Config.State, "operator", true)
@@ -153,26 +155,27 @@
 	is.True(root.w.Self.Beat.Applied > 2)
 }
 
-// TestDaemonCutOffFromEverybodyDoesNotServeNothing: shrunk from a generated
-// history. A restarted daemon that reaches neither the log nor a peer must not
-// put an empty configuration in force.
-func TestDaemonCutOffFromEverybodyDoesNotServeNothing(t *testing.T) {
+// TestIsolatedDaemonDoesNotServeEmptyConfig restarts a daemon that can reach neither the log
+// nor a peer: it must not put an empty configuration in force. The history was reduced from a
+// generated one.
+func TestIsolatedDaemonDoesNotServeEmptyConfig(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 2, 2)
 	n.publish("a", baseConfig)
 	n.converge(10 * time.Second)
-	lone := n.nodes[0]
-	n.kill(lone)
+	isolated := n.nodes[0]
+	n.kill(isolated)
 	n.kill(n.nodes[1])
 	n.kill(n.nodes[3])
 	n.partitions["d0|d1"] = true
 	n.storeUnreachable["d0"] = true
-	n.start(lone)
+	n.start(isolated)
 	n.run(10 * time.Second)
-	is.True(!lone.w.Ready)
+	is.True(!isolated.w.Ready)
 	n.converge(20 * time.Second)
 }
 
+// logEnd returns the offset of the next record of the log.
 func (n *testNet) logEnd() uint64 {
 	batch, err := n.log.Read(context.Background(), store.Query{Topic: store.ConfigTopic})
 	if err != nil {
@@ -181,6 +184,8 @@
 	return batch.End
 }
 
+// TestRestartedDaemonWaitsForItsOldVersion guards against a restarted daemon that serves an
+// older version than it did before.
 func TestRestartedDaemonWaitsForItsOldVersion(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 1, 3)
@@ -191,8 +196,8 @@
 	first := n.nodes[0]
 	highest := first.highestApplied
 	is.Equal(highest, uint64(2))
-	// The log is down and everything that holds version 2 is gone, except a
-	// peer that only remembers that the daemon had it.
+	// The log is down and no daemon holds version 2. The one that keeps running only
+	// remembers that the restarted daemon had it.
 	n.log.SetFaults(devlog.Faults{Down: true})
 	n.kill(n.nodes[1])
 	n.kill(first)
@@ -209,7 +214,7 @@
 	is.True(first.w.Self.Beat.Applied >= highest)
 }
 
-// stateAt returns the state after the log's records before the position.
+// stateAt returns the state that results from the records of the log before the position.
 func stateAt(t *testing.T, n *testNet, position uint64) *config.State {
 	t.Helper()
 	batch, err := n.log.Read(context.Background(), store.Query{Topic: store.ConfigTopic})
@@ -232,9 +237,9 @@
 	return s
 }
 
-// TestEverythingRestartsFromACheckpoint: every daemon restarts at once and
-// the log holds nothing but a checkpoint.
-func TestEverythingRestartsFromACheckpoint(t *testing.T) {
+// TestAllDaemonsRestartFromACheckpoint restarts all daemons at once while the log holds only a
+// checkpoint: they must serve its version.
+func TestAllDaemonsRestartFromACheckpoint(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 3, 2)
 	n.publish("a", baseConfig)
--- a/internal/system/topology_test.go
+++ b/internal/system/topology_test.go
@@ -12,11 +12,11 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// TestNarrowLinksReadAndRelayNothing: in two failure domains of 20 VMs, of which 7
-// have links of 5 to 7 Mbit/s, no such VM reads the log or has a child while there
-// are others. Seen: a change was in force 2.53 s after it was accepted, 30 ms too
-// late, behind daemons that each took seconds for a version.
-func TestNarrowLinksReadAndRelayNothing(t *testing.T) {
+// TestNarrowLinksNeitherReadNorRelay guards against changes that get in force too late below
+// daemons with slow links, each of which takes seconds to forward a version: one change was in
+// force 2.53 s after it was accepted, 30 ms too late. In two failure domains of 20 VMs, of
+// which 7 have links of 5 to 7 Mbit/s, no such VM may read the log or have a child.
+func TestNarrowLinksNeitherReadNorRelay(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 2, 20)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -27,7 +27,7 @@
 			node.linkMbps = 5 + 2*rng.Float64()
 			narrow[node.id] = true
 		}
-		n.start(node) // again, now that its link is known
+		n.start(node) // restarted, with the bandwidth set
 	}
 	n.publish("a", "put service s")
 	n.converge(30 * time.Second)
@@ -46,9 +46,10 @@
 	is.True(readers >= 2 && relays >= 36)
 }
 
-// TestOrderIsByWidthAndTheSameEverywhere: whoever knows the same members computes
-// the same order, and nobody stands behind one with a link half as wide.
-func TestOrderIsByWidthAndTheSameEverywhere(t *testing.T) {
+// TestOrderIsDeterministicAndByBandwidth checks that all daemons that know the same members
+// compute the same order of them, and that no member comes after one whose link has half its
+// bandwidth or less.
+func TestOrderIsDeterministicAndByBandwidth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		links := rapid.SliceOfN(rapid.SampledFrom([]float64{0, 5, 6, 12, 25, 50, 100, 1000}), 2, 12).Draw(t, "links")
 		var members []wire.Member
@@ -70,10 +71,10 @@
 			}
 			for k := range got {
 				if got[k].ID != first[k].ID {
-					t.Fatalf("%v and %v", got, first)
+					t.Fatalf("order differs between daemons: got %v, want %v", got, first)
 				}
 				if k > 0 && narrowness(got[k-1]) > narrowness(got[k]) {
-					t.Fatalf("narrow before wide: %v", got)
+					t.Fatalf("member with a narrow link before one with a wide link: %v", got)
 				}
 			}
 		}
--- a/internal/system/upstream_test.go
+++ b/internal/system/upstream_test.go
@@ -12,16 +12,16 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// TestUpstreamLife follows one upstream from its announcement to its end, and
-// its restart under the same name.
-func TestUpstreamLife(t *testing.T) {
+// TestUpstreamLifecycle follows an upstream from its announcement through the ramp to its
+// withdrawal, and a restart under the same name until its announcements stop.
+func TestUpstreamLifecycle(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 1, 1)
 	n.publish("a", "put service s ramp 2s")
 	n.converge(5 * time.Second)
 	w := n.nodes[0].w
-	announced := func(life string) table.Local {
-		return table.Local{Upstream: wire.Upstream{ID: "vm/up", Service: "s", Slots: 4}, Name: "vm/up", Life: life, Addr: "127.0.0.1:1", Conns: 4}
+	announced := func(incarnation string) table.Local {
+		return table.Local{Upstream: wire.Upstream{ID: "vm/up", Service: "s", Slots: 4}, Name: "vm/up", Life: incarnation, Addr: "127.0.0.1:1", Conns: 4}
 	}
 	now := n.now
 	tick := func(after time.Duration, in ...Input) (kinds []event.Kind) {
@@ -42,10 +42,10 @@
 	is.Equal(len(tick(time.Second, Announced{announced("one")})), 0)
 	is.Equal(tick(0, Withdrawn{"vm/up"}), []event.Kind{event.UpstreamDraining})
 	is.Equal(serving(), 0)
-	is.Equal(len(tick(0, Announced{announced("one")})), 0) // a late renewal does not bring it back
+	is.Equal(len(tick(0, Announced{announced("one")})), 0) // a late renewal does not revive it
 	is.Equal(serving(), 0)
-	is.Equal(tick(0, Announced{announced("two")}), []event.Kind{event.UpstreamUp}) // its next life does
+	is.Equal(tick(0, Announced{announced("two")}), []event.Kind{event.UpstreamUp}) // its next incarnation is served
 	is.Equal(serving(), 1)
-	is.Equal(tick(w.Params.UpstreamLapse+time.Millisecond), []event.Kind{event.UpstreamGone}) // it vanishes
+	is.Equal(tick(w.Params.UpstreamLapse+time.Millisecond), []event.Kind{event.UpstreamGone}) // its announcements stopped
 	is.Equal(serving(), 0)
 }
