--- a/internal/system/document_test.go
+++ b/internal/system/document_test.go
@@ -102,22 +102,22 @@
 	is := is.New(t)
 	w := documentWorld()
 	at := time.Unix(1001, 0)
-	announceTo := func(id string, sequence uint64, draining bool) {
+	announceUpstream := func(id string, sequence uint64, draining bool) {
 		Tick(w, at, []Input{Announced{Local: table.Local{
 			Upstream: wire.Upstream{ID: id, Service: "s", Slots: 4, Draining: draining},
 			Name:     id, Life: id, Process: id, Addr: "a:1", Sequence: sequence,
 		}}})
 	}
-	announceTo("one", 4, false)
-	announceTo("one", 6, true)
-	announceTo("one", 5, false)
+	announceUpstream("one", 4, false)
+	announceUpstream("one", 6, true)
+	announceUpstream("one", 5, false)
 	is.True(w.Locals["one"].Draining)
-	announceTo("two", 1, false) // a new process at the address
+	announceUpstream("two", 1, false) // a new process at the address
 	is.Equal(w.Locals["one"], nil)
-	announceTo("one", 7, false)
+	announceUpstream("one", 7, false)
 	is.Equal(len(w.Locals), 1)
 	Tick(w, at, []Input{Removed{Name: "two"}})
-	announceTo("two", 2, false)
+	announceUpstream("two", 2, false)
 	is.Equal(len(w.Locals), 0)
 }
 
--- a/internal/system/documents_test.go
+++ b/internal/system/documents_test.go
@@ -85,7 +85,8 @@
 // that each accepted version is in force in time.
 type documentNet struct {
 	*testNet
-	// lastDisturbed is when each daemon was last stopped, paused or partitioned.
+	// lastDisturbed is when each daemon was last stopped, paused or partitioned, or could
+	// not reach the store.
 	lastDisturbed map[*testNode]time.Time
 }
 
@@ -168,20 +169,20 @@
 
 // checkInForce checks that a daemon holds every version whose bound has passed.
 func (d *documentNet) checkInForce(node *testNode) {
-	steadySince := node.w.Started
+	checkedFrom := node.w.Started
 	for _, at := range []time.Time{d.lastDisturbed[node], d.documents.lastDisturbed} {
-		if at.After(steadySince) {
-			steadySince = at
+		if at.After(checkedFrom) {
+			checkedFrom = at
 		}
 	}
-	steadySince = steadySince.Add(settleTime)
-	if d.now.Before(steadySince) {
+	checkedFrom = checkedFrom.Add(settleTime)
+	if d.now.Before(checkedFrom) {
 		return
 	}
 	for i, a := range d.documents.accepted {
 		due := a.at
-		if steadySince.After(due) {
-			due = steadySince
+		if checkedFrom.After(due) {
+			due = checkedFrom
 		}
 		if held := node.w.Config.State.Version; held < uint64(10*(i+1)) && d.now.Sub(due) > node.w.Params.InForce {
 			d.fatalf("%s still holds version %d, %v after version %d was accepted (alarms %v, root %v, parent %q)",
@@ -190,10 +191,10 @@
 	}
 }
 
-// TestDocumentsAreInForceUnderAnyHistory guards against accepted versions that do not get in
-// force at reachable daemons. It generates histories in which readers crash, lose power, freeze
+// TestDocumentsAreInForceUnderAnyHistory guards against accepted versions that do not come into
+// force at reachable daemons. It generates histories in which daemons crash, lose power, freeze
 // and are partitioned, the store is unreachable or does not wake waiting reads, and documents
-// come in quick succession and are flawed.
+// arrive in quick succession and are flawed.
 func TestDocumentsAreInForceUnderAnyHistory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := newDocumentNet(rt.Fatalf, 3, rapid.IntRange(2, 8).Draw(rt, "daemons"))
--- a/internal/system/net_test.go
+++ b/internal/system/net_test.go
@@ -151,6 +151,7 @@
 	return n
 }
 
+// start starts a daemon with empty tables.
 func (n *testNet) start(node *testNode) {
 	node.incarnation++
 	node.alive, node.powerLost = true, false
@@ -195,6 +196,7 @@
 	return a.domain != b.domain && n.partitions[domainPair(a, b)]
 }
 
+// domainPair returns the key of a pair of failure domains in testNet.partitions.
 func domainPair(a, b *testNode) string {
 	return min(a.domain, b.domain) + "|" + max(a.domain, b.domain)
 }
@@ -212,7 +214,8 @@
 	}
 }
 
-// bootTime returns the boot time of a daemon's VM. It differs between all VMs.
+// bootTime returns the reading of the boot-time clock of a daemon's VM, which differs between
+// VMs.
 func (n *testNet) bootTime(node *testNode) time.Duration {
 	return n.now.Sub(time.Unix(1_699_990_000, 0)) + time.Duration(node.index)*time.Hour
 }
@@ -230,6 +233,7 @@
 	return at
 }
 
+// deliver passes on the messages and the failures of dials that are due.
 func (n *testNet) deliver() {
 	for _, p := range n.pipes {
 		for len(p.queue) > 0 && !p.queue[0].at.After(n.now) {
@@ -247,6 +251,7 @@
 	}
 }
 
+// tick runs one tick of a daemon and carries out what it asks for.
 func (n *testNet) tick(node *testNode) {
 	in := node.inputs
 	node.inputs = nil
--- a/internal/system/seek_test.go
+++ b/internal/system/seek_test.go
@@ -62,8 +62,8 @@
 }
 
 // TestReadWaitFollowsInForceBound guards against needless calls to the store: the time in
-// which a change must be in force differs between deployments, from 2 s to 15 s, and each
-// read that ends without a change is a wasted call.
+// which a change must be in force differs between deployments, for instance 2 s or 15 s,
+// and each read that ends without a change is a wasted call.
 func TestReadWaitFollowsInForceBound(t *testing.T) {
 	is := is.New(t)
 	w := documentWorld()
--- a/internal/system/start_test.go
+++ b/internal/system/start_test.go
@@ -38,6 +38,7 @@
 	nextRead     time.Time
 }
 
+// costOf returns the cost counted for a daemon.
 func (s *startupCosts) costOf(node *testNode) *startCost {
 	c := s.cost[node.id]
 	if c == nil {
@@ -47,6 +48,7 @@
 	return c
 }
 
+// record counts the costs of a tick of a daemon, and answers its requests to the store.
 func (s *startupCosts) record(n *testNet, node *testNode, out Outbox) {
 	c := s.costOf(node)
 	c.messages += len(out.Sends)
