--- a/internal/peer/stream_test.go
+++ b/internal/peer/stream_test.go
@@ -45,8 +45,8 @@
 	is.True(delivered > 0)
 }
 
-// TestStreamKeepsMessagesApart guards against errors at the boundaries of messages: it sends
-// messages of growing sizes, below and above that of the compression dictionary.
+// TestStreamKeepsMessagesApart guards against errors at the boundaries of messages: it
+// sends messages of growing sizes, below and above that of the compression dictionary.
 func TestStreamKeepsMessagesApart(t *testing.T) {
 	is := is.New(t)
 	var conn bufferConn
--- a/internal/system/document_test.go
+++ b/internal/system/document_test.go
@@ -52,8 +52,9 @@
 	is.Equal(w.Alarms[AlarmDocument], "")
 }
 
-// TestUndecodableDocumentRaisesAlarm reads a document that cannot be decoded: the store must
-// count as up, the version held must stay in force, and the alarm must state the reason.
+// TestUndecodableDocumentRaisesAlarm reads a document that cannot be decoded: the store
+// must count as up, the version held must stay in force, and the alarm must state the
+// reason.
 func TestUndecodableDocumentRaisesAlarm(t *testing.T) {
 	is := is.New(t)
 	w := documentWorld()
@@ -66,9 +67,10 @@
 	is.True(w.Log.CaughtUp) // so a restarted daemon may serve what its peers hold
 }
 
-// TestDeltaLeadsToTheSameState sends the delta between two versions, as a daemon does in a
-// storm of changes. A daemon that holds the first version must arrive at the sender's state;
-// one that holds another version, or arrives at another hash, must not apply the delta.
+// TestDeltaLeadsToTheSameState sends the delta between two versions, as a daemon does in
+// a storm of changes. A daemon that holds the first version must arrive at the sender's
+// state; one that holds another version, or arrives at another hash, must not apply the
+// delta.
 func TestDeltaLeadsToTheSameState(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1001, 0)
--- a/internal/system/documents_test.go
+++ b/internal/system/documents_test.go
@@ -33,7 +33,8 @@
 	incarnation int
 	// delivered is how many documents were accepted when the daemon last got one.
 	delivered int
-	// started is when the running read began, or zero; startedBoot is the boot time then.
+	// started is when the running read began, or zero; startedBoot is the boot time
+	// then.
 	started     time.Time
 	startedBoot time.Duration
 	// missedWakeup is set if a document was accepted without waking the running read.
@@ -85,8 +86,8 @@
 // that each accepted version is in force in time.
 type documentNet struct {
 	*testNet
-	// lastDisturbed is when each daemon was last stopped, paused or partitioned, or could
-	// not reach the store.
+	// lastDisturbed is when each daemon was last stopped, paused or partitioned, or
+	// could not reach the store.
 	lastDisturbed map[*testNode]time.Time
 }
 
@@ -105,8 +106,8 @@
 	return d
 }
 
-// accept adds a version to the store. A flawed one has a route with two shares: the one with
-// all the weight, and one of weight 0 for a service that is not listed.
+// accept adds a version to the store. A flawed one has a route with two shares: the one
+// with all the weight, and one of weight 0 for a service that is not listed.
 func (d *documentNet) accept(flawed bool) {
 	version := uint64(10 * (len(d.documents.accepted) + 1))
 	d.documents.accepted = append(d.documents.accepted, acceptedDocument{at: d.now, doc: func() config.Document {
@@ -138,8 +139,8 @@
 // on versions begins to apply.
 const settleTime = 3 * time.Second
 
-// runAndCheck advances the time and checks at each tick that every undisturbed daemon has each
-// accepted version in force within Params.InForce.
+// runAndCheck advances the time and checks at each tick that every undisturbed daemon has
+// each accepted version in force within Params.InForce.
 func (d *documentNet) runAndCheck(length time.Duration) {
 	for end := d.now.Add(length); d.now.Before(end); {
 		d.run(tickInterval)
@@ -191,10 +192,10 @@
 	}
 }
 
-// TestDocumentsAreInForceUnderAnyHistory guards against accepted versions that do not come into
-// force at reachable daemons. It generates histories in which daemons crash, lose power, freeze
-// and are partitioned, the store is unreachable or does not wake waiting reads, and documents
-// arrive in quick succession and are flawed.
+// TestDocumentsAreInForceUnderAnyHistory guards against accepted versions that do not
+// come into force at reachable daemons. It generates histories in which daemons crash,
+// lose power, freeze and are partitioned, the store is unreachable or does not wake
+// waiting reads, and documents arrive in quick succession and are flawed.
 func TestDocumentsAreInForceUnderAnyHistory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := newDocumentNet(rt.Fatalf, 3, rapid.IntRange(2, 8).Draw(rt, "daemons"))
--- a/internal/system/freshness_test.go
+++ b/internal/system/freshness_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestRevokedKeysAdmitNoCalls guards against daemons that admit calls with a revoked key for
-// longer than the bound. It generates histories of partitions, outages of the log, restarts,
-// pauses, slow messages and changes of keys.
+// TestRevokedKeysAdmitNoCalls guards against daemons that admit calls with a revoked key
+// for longer than the bound. It generates histories of partitions, outages of the log,
+// restarts, pauses, slow messages and changes of keys.
 func TestRevokedKeysAdmitNoCalls(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := &revocations{testNet: newTestNet(rt.Fatalf, 3, 3)}
--- a/internal/system/link_test.go
+++ b/internal/system/link_test.go
@@ -9,9 +9,9 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// TestRefusedDaemonDialsAnother opens a connection to a daemon that has reached its limit of
-// connections. The refusal must name other daemons, and the refused daemon must dial one of
-// them at its next tick instead of waiting to retry.
+// TestRefusedDaemonDialsAnother opens a connection to a daemon that has reached its limit
+// of connections. The refusal must name other daemons, and the refused daemon must dial
+// one of them at its next tick instead of waiting to retry.
 func TestRefusedDaemonDialsAnother(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1001, 0)
--- a/internal/system/lives_test.go
+++ b/internal/system/lives_test.go
@@ -53,9 +53,9 @@
 	is.Equal(tick(Removed{Name: "vm/up", Born: 1000}, announcement(4000, 4, true)).Sequence, uint64(4)) // a late removal
 }
 
-// TestIncarnationsInAnyOrder generates announcements and removals in any order. The row must
-// always hold the last announcement of the latest known incarnation, unless that one or a
-// later one was removed.
+// TestIncarnationsInAnyOrder generates announcements and removals in any order. The row
+// must always hold the last announcement of the latest known incarnation, unless that one
+// or a later one was removed.
 func TestIncarnationsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := documentWorld()
--- a/internal/system/net_test.go
+++ b/internal/system/net_test.go
@@ -28,7 +28,8 @@
 	nodes  []*testNode
 	byAddr map[string]*testNode
 	pipes  []*pipe
-	// pendingDialFailures are the dials that have yet to fail, in the order of their time.
+	// pendingDialFailures are the dials that have yet to fail, in the order of their
+	// time.
 	pendingDialFailures []failedDial
 	// pipeByLink holds each connection under the link ID of either end.
 	pipeByLink map[table.LinkID]*pipe
@@ -39,12 +40,13 @@
 	storeUnreachable map[string]bool
 	// hashAt is the hash of the state that daemons held at each position of the log.
 	hashAt map[string]string
-	// checkFloor makes checkInvariants fail if a restarted daemon serves a version older
-	// than before. Tests that restart a daemon where it cannot reach those who know its
-	// version turn it off.
+	// checkFloor makes checkInvariants fail if a restarted daemon serves a version
+	// older than before. Tests that restart a daemon where it cannot reach those who
+	// know its version turn it off.
 	checkFloor bool
-	// quarantineStore is the store's topic of quarantined requests. quarantineVersion
-	// counts all writes to it, quarantineWrites those since a test last reset it.
+	// quarantineStore holds the store's records of quarantined requests.
+	// quarantineVersion counts all writes to it, quarantineWrites those since a test
+	// last reset that count.
 	quarantineStore   map[suspect.Digest][]byte
 	quarantineVersion int
 	quarantineWrites  int
@@ -54,7 +56,8 @@
 	// revocationBound is the time after which a revoked key must admit no calls. It
 	// applies to daemons that start from now on.
 	revocationBound time.Duration
-	// extraDelay returns the delay of a message beyond one tick interval; nil means none.
+	// extraDelay returns the delay of a message beyond one tick interval; nil means
+	// none.
 	extraDelay func() time.Duration
 	// startup records the costs of a cold start, in tests that set it.
 	startup *startupCosts
@@ -214,8 +217,8 @@
 	}
 }
 
-// bootTime returns the reading of the boot-time clock of a daemon's VM, which differs between
-// VMs.
+// bootTime returns the reading of the boot-time clock of a daemon's VM, which differs
+// between VMs.
 func (n *testNet) bootTime(node *testNode) time.Duration {
 	return n.now.Sub(time.Unix(1_699_990_000, 0)) + time.Duration(node.index)*time.Hour
 }
--- a/internal/system/rollouts_test.go
+++ b/internal/system/rollouts_test.go
@@ -76,13 +76,15 @@
 	n     *testNet
 	rng   *rand.Rand
 	views map[*testNode]*view.View
-	// failureRate is the fraction of calls that the new version fails, from failingFrom on.
+	// failureRate is the fraction of calls that the new version fails, from
+	// failingFrom on.
 	failureRate float64
 	failingFrom time.Time
 	order       rollout.Order
 	orderedAt   time.Time
-	// calls counts the calls to the service since the order, exposed those of them to the
-	// new version, and staleCalls those to the old version after the rollout completed.
+	// calls counts the calls to the service since the order, exposed those of them to
+	// the new version, and staleCalls those to the old version after the rollout
+	// completed.
 	calls, exposed, staleCalls int
 	// routes is the number of routes to the service.
 	routes int
@@ -267,8 +269,8 @@
 	is.Equal(len(r.views[r.n.nodes[0]].Services[rolloutService].Upstreams), 12)
 }
 
-// TestOrderForAbsentVersionIsReverted orders a version that no upstream runs: the rollout must
-// be reverted and the old version must keep serving.
+// TestOrderForAbsentVersionIsReverted orders a version that no upstream runs: the rollout
+// must be reverted and the old version must keep serving.
 func TestOrderForAbsentVersionIsReverted(t *testing.T) {
 	is := is.New(t)
 	r := newRolloutNet(t, 1, 2, 3)
@@ -282,8 +284,8 @@
 	is.Equal(r.exposed, 0)
 }
 
-// TestSecondOrderBarsTheFirstVersion orders another version during a rollout: the version of
-// the first order must get no more calls.
+// TestSecondOrderBarsTheFirstVersion orders another version during a rollout: the version
+// of the first order must get no more calls.
 func TestSecondOrderBarsTheFirstVersion(t *testing.T) {
 	is := is.New(t)
 	r := newRolloutNet(t, 1, 2, 3)
@@ -301,8 +303,8 @@
 	}
 }
 
-// TestMalformedRolloutMessagesAreIgnored sends states and tallies that no daemon would send:
-// they must not change the rollout.
+// TestMalformedRolloutMessagesAreIgnored sends states and tallies that no daemon would
+// send: they must not change the rollout.
 func TestMalformedRolloutMessagesAreIgnored(t *testing.T) {
 	is := is.New(t)
 	r := newRolloutNet(t, 1, 1, 3)
--- a/internal/system/seek_test.go
+++ b/internal/system/seek_test.go
@@ -10,9 +10,9 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// TestFirstAddressesAreDialedAtOnce starts a daemon. It refuses calls until it has reached
-// another daemon, so it must dial the first addresses it finds at once instead of at the next
-// regular attempt.
+// TestFirstAddressesAreDialedAtOnce starts a daemon. It refuses calls until it has
+// reached another daemon, so it must dial the first addresses it finds at once instead of
+// at the next regular attempt.
 func TestFirstAddressesAreDialedAtOnce(t *testing.T) {
 	is := is.New(t)
 	w := documentWorld()
@@ -43,9 +43,10 @@
 	}
 }
 
-// TestRootWithoutParentReadsLikeFirstRoot takes the first root of a failure domain away. The
-// next root then gets no changes from a parent, and the store does not wake waiting reads
-// while it drops its history: its reads must become as short as those of the first root.
+// TestRootWithoutParentReadsLikeFirstRoot takes the first root of a failure domain away.
+// The next root then gets no changes from a parent, and the store does not wake waiting
+// reads while it drops its history: its reads must become as short as those of the first
+// root.
 func TestRootWithoutParentReadsLikeFirstRoot(t *testing.T) {
 	const inForce = 2500 * time.Millisecond // the shortest bound on a change in the larger deployments
 	is := is.New(t)
@@ -74,8 +75,8 @@
 }
 
 // TestOnlyChangedAddressesArePublished guards against needless calls to the store: most
-// daemons restart with the addresses that the log already lists. On a day with two losses of
-// power, 300 of 1,800 calls to the store published such addresses again.
+// daemons restart with the addresses that the log already lists. On a day with two losses
+// of power, 300 of 1,800 calls to the store published such addresses again.
 func TestOnlyChangedAddressesArePublished(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -146,9 +147,9 @@
 	}
 }
 
-// TestPartitionsAfterColdStartMerge starts two pairs of daemons that know only each other,
-// with probes an hour away. Addresses from the log must join the two: until then, calls to a
-// service whose only upstream is in the other pair are refused.
+// TestPartitionsAfterColdStartMerge starts two pairs of daemons that know only each
+// other, with probes an hour away. Addresses from the log must join the two: until then,
+// calls to a service whose only upstream is in the other pair are refused.
 func TestPartitionsAfterColdStartMerge(t *testing.T) {
 	n := newTestNetFor(t, 2, 2)
 	for i, node := range n.nodes {
--- a/internal/system/start_test.go
+++ b/internal/system/start_test.go
@@ -33,7 +33,8 @@
 // startCost is the cost of a cold start for one daemon.
 type startCost struct {
 	records, pulls, messages, dials int
-	// finds and reads are requests to the store: for addresses, and for the configuration.
+	// finds and reads are requests to the store: for addresses, and for the
+	// configuration.
 	finds, reads int
 	nextRead     time.Time
 }
@@ -119,11 +120,12 @@
 	return nil, 0
 }
 
-// TestColdStartCostPerDaemon guards against cold starts whose cost per daemon grows too fast
-// with the size of the fleet. It starts fleets of n and of 4n daemons. The records that a
-// daemon forwards, which are most of the cost, may grow by n log n, as for any broadcast over
-// a tree; its requests to other daemons and to the store by no more than log n. When each
-// comparison of tables sent everything that might differ, the cost grew by n to the 1.4.
+// TestColdStartCostPerDaemon guards against cold starts whose cost per daemon grows too
+// fast with the size of the fleet. It starts fleets of n and of 4n daemons. The records
+// that a daemon forwards, which are most of the cost, may grow by n log n, as for any
+// broadcast over a tree; its requests to other daemons and to the store by no more than
+// log n. When each comparison of tables sent everything that might differ, the cost grew
+// by n to the 1.4.
 func TestColdStartCostPerDaemon(t *testing.T) {
 	const small, large = 60, 4 * 60
 	logRatio := math.Log(large) / math.Log(small)
--- a/internal/system/storm_bench_test.go
+++ b/internal/system/storm_bench_test.go
@@ -35,9 +35,9 @@
 	return next
 }
 
-// BenchmarkStorm measures what one version costs in a long storm of changes, from the decoded
-// document to the view of the call path: for the daemon that reads it from the store and
-// forwards it to 8 children, and for one of these children.
+// BenchmarkStorm measures what one version costs in a long storm of changes, from the
+// decoded document to the view of the call path: for the daemon that reads it from the
+// store and forwards it to 8 children, and for one of these children.
 func BenchmarkStorm(b *testing.B) {
 	at := time.Unix(1001, 0)
 	reader, child := documentWorld(), documentWorld()
--- a/internal/system/storm_test.go
+++ b/internal/system/storm_test.go
@@ -13,10 +13,11 @@
 )
 
 // TestVersionReusesUnchangedRoutes guards against versions that cost as much as the whole
-// configuration, as in a storm of changes. It puts successive versions in force on a daemon
-// that holds 1,700 routes: unchanged routes must be reused, not built again. Allocations stand
-// for processor time, since they do not depend on the machine: marshalling, hashing and
-// indexing every route took some 24,000 of them per version, and 4.8 ms.
+// configuration, as in a storm of changes. It puts successive versions in force on a
+// daemon that holds 1,700 routes: unchanged routes must be reused, not built again.
+// Allocations stand for processor time, since they do not depend on the machine:
+// marshalling, hashing and indexing every route took some 24,000 of them per version, and
+// 4.8 ms.
 func TestVersionReusesUnchangedRoutes(t *testing.T) {
 	// Copying the table of routes takes one allocation for each route.
 	const maxAllocs = stormRoutes + 300
--- a/internal/system/suspects_test.go
+++ b/internal/system/suspects_test.go
@@ -18,7 +18,7 @@
 	return suspect.NewTable(func() time.Time { return time.Unix(1000, 0) })
 }
 
-// quarantine records three crashes at a daemon that a request was running in.
+// quarantine records three crashes at a daemon, each with the request as a suspect.
 func quarantine(node *testNode, d suspect.Digest) {
 	for e := range suspect.Enough {
 		node.w.Suspects.Charge(d, suspect.End(100*uint64(d)+uint64(e)))
@@ -36,9 +36,9 @@
 	return count
 }
 
-// TestQuarantineReachesAllAndSurvivesRestarts puts a request in quarantine at one daemon. All
-// others must get the record at once, restarted daemons must get it from the others, and after
-// a restart of all daemons they must get it from the store.
+// TestQuarantineReachesAllAndSurvivesRestarts puts a request in quarantine at one daemon.
+// All others must get the record at once, restarted daemons must get it from the others,
+// and after a restart of all daemons they must get it from the store.
 func TestQuarantineReachesAllAndSurvivesRestarts(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 3, 4)
@@ -104,8 +104,8 @@
 	is.Equal(quarantined, 1)
 }
 
-// TestExpiredQuarantineIsDeletedFromStore guards against records that stay in the store after
-// they have expired.
+// TestExpiredQuarantineIsDeletedFromStore guards against records that stay in the store
+// after they have expired.
 func TestExpiredQuarantineIsDeletedFromStore(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 2, 3)
@@ -132,8 +132,8 @@
 	is.Equal(n.quarantineWrites, 1)
 }
 
-// TestEarlierReleasesGetNoSuspects guards against messages that daemons of earlier releases do
-// not know: those close the connection on which such a message arrives.
+// TestEarlierReleasesGetNoSuspects guards against messages that daemons of earlier
+// releases do not know: those close the connection on which such a message arrives.
 func TestEarlierReleasesGetNoSuspects(t *testing.T) {
 	is := is.New(t)
 	w := documentWorld()
@@ -156,10 +156,10 @@
 	is.True(got[2] >= 2)
 }
 
-// TestCrashPropagatesWithinBudget measures the cost of distributing one crash with 16 suspects,
-// of which 15 are cleared afterwards, to 95 and to 931 VMs. A daemon may send 22 KB/s of
-// control traffic: the busiest daemon must send no more than that for the crash, and all
-// daemons must have the record within 10 tick intervals.
+// TestCrashPropagatesWithinBudget measures the cost of distributing one crash with 16
+// suspects, of which 15 are cleared afterwards, to 95 and to 931 VMs. A daemon may send
+// 22 KB/s of control traffic: the busiest daemon must send no more than that for the
+// crash, and all daemons must have the record within 10 tick intervals.
 func TestCrashPropagatesWithinBudget(t *testing.T) {
 	const maxBytes = 22 << 10
 	for _, f := range []struct{ domains, perDomain int }{{5, 19}, {7, 133}} {
--- a/internal/system/system_test.go
+++ b/internal/system/system_test.go
@@ -26,8 +26,8 @@
 
 // TestInvariantsHoldUnderAnyHistory generates histories of restarts, partitions between
 // failure domains, outages and expiry of the log, and published changes. At each tick, no
-// daemon's version may decrease, equal positions must hold equal content, and every view must
-// be consistent, see checkInvariants. Afterwards all daemons must converge.
+// daemon's version may decrease, equal positions must hold equal content, and every view
+// must be consistent, see checkInvariants. Afterwards all daemons must converge.
 func TestInvariantsHoldUnderAnyHistory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := newTestNet(rt.Fatalf, 3, 3)
@@ -101,9 +101,9 @@
 	return others
 }
 
-// TestReseedRecoversFromUnreadExpiredRecord drops a record from the log before any daemon has
-// read it. No daemon can continue by itself then: they must keep serving and raise an alarm,
-// until an operator reseeds the log with a checkpoint.
+// TestReseedRecoversFromUnreadExpiredRecord drops a record from the log before any daemon
+// has read it. No daemon can continue by itself then: they must keep serving and raise an
+// alarm, until an operator reseeds the log with a checkpoint.
 func TestReseedRecoversFromUnreadExpiredRecord(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 2, 2)
@@ -129,8 +129,9 @@
 	is.Equal(root.w.Alarms[AlarmGap], "")
 }
 
-// TestReplacedLogIsReseeded replaces the log by an empty one whose offsets start at zero. Until
-// it is reseeded, daemons must apply nothing of it; afterwards, versions must still increase.
+// TestReplacedLogIsReseeded replaces the log by an empty one whose offsets start at zero.
+// Until it is reseeded, daemons must apply nothing of it; afterwards, versions must still
+// increase.
 func TestReplacedLogIsReseeded(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 2, 3)
@@ -155,9 +156,9 @@
 	is.True(root.w.Self.Beat.Applied > 2)
 }
 
-// TestIsolatedDaemonDoesNotServeEmptyConfig restarts a daemon that can reach neither the log
-// nor a peer: it must not put an empty configuration in force. The history was reduced from a
-// generated one.
+// TestIsolatedDaemonDoesNotServeEmptyConfig restarts a daemon that can reach neither the
+// log nor a peer: it must not put an empty configuration in force. The history was
+// reduced from a generated one.
 func TestIsolatedDaemonDoesNotServeEmptyConfig(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 2, 2)
@@ -237,8 +238,8 @@
 	return s
 }
 
-// TestAllDaemonsRestartFromACheckpoint restarts all daemons at once while the log holds only a
-// checkpoint: they must serve its version.
+// TestAllDaemonsRestartFromACheckpoint restarts all daemons at once while the log holds
+// only a checkpoint: they must serve its version.
 func TestAllDaemonsRestartFromACheckpoint(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 3, 2)
--- a/internal/system/topology_test.go
+++ b/internal/system/topology_test.go
@@ -12,10 +12,11 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// TestNarrowLinksNeitherReadNorRelay guards against changes that get in force too late below
-// daemons with slow links, each of which takes seconds to forward a version: one change was in
-// force 2.53 s after it was accepted, 30 ms too late. In two failure domains of 20 VMs, of
-// which 7 have links of 5 to 7 Mbit/s, no such VM may read the log or have a child.
+// TestNarrowLinksNeitherReadNorRelay guards against changes that come into force too late
+// below daemons with slow links, each of which takes seconds to forward a version: one
+// change was in force 2.53 s after it was accepted, 30 ms too late. In two failure
+// domains of 20 VMs, of which 7 have links of 5 to 7 Mbit/s, no such VM may read the log
+// or have a child.
 func TestNarrowLinksNeitherReadNorRelay(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 2, 20)
@@ -46,9 +47,9 @@
 	is.True(readers >= 2 && relays >= 36)
 }
 
-// TestOrderIsDeterministicAndByBandwidth checks that all daemons that know the same members
-// compute the same order of them, and that no member comes after one whose link has half its
-// bandwidth or less.
+// TestOrderIsDeterministicAndByBandwidth checks that all daemons that know the same
+// members compute the same order of them, and that no member comes after one whose link
+// has half its bandwidth or less.
 func TestOrderIsDeterministicAndByBandwidth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		links := rapid.SliceOfN(rapid.SampledFrom([]float64{0, 5, 6, 12, 25, 50, 100, 1000}), 2, 12).Draw(t, "links")
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -82,8 +82,8 @@
 	// Floor is the highest configuration version that the sender saw the receiver
 	// apply. A restarted receiver must not serve an older one.
 	Floor uint64 `json:"floor,omitempty"`
-	// Suspects is the hash of the sender's table of suspects, in hexadecimal digits. "":
-	// the sender runs a release that does not accept Suspects messages.
+	// Suspects is the hash of the sender's table of suspects, in hexadecimal digits.
+	// "": the sender runs a release that does not accept Suspects messages.
 	Suspects string `json:"suspects,omitempty"`
 	// Rollouts is the hash of the sender's rollouts. "": the sender does not accept
 	// Rollouts messages.
