--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,14 +1,15 @@
-// Package boottime reads the time since the VM's start, which goes on while the VM is
-// suspended and is never set.
+// Package boottime reads the time since the VM booted. This clock keeps running while the
+// VM is suspended and is never adjusted.
 package boottime
 
 import "time"
 
-// processStart is what steady counts from.
+// processStart is the time from which steady counts.
 var processStart = time.Now()
 
-// steady returns the time since the start of the process by the steady clock.
+// steady returns the time since the start of the process on the monotonic clock.
 func steady() time.Duration { return time.Since(processStart) }
 
-// Clock returns the boot time as a point in time, for what compares two.
+// Clock returns the boot time as a time.Time, for callers that compare or subtract two. It is
+// not a time of day.
 func Clock() time.Time { return time.Unix(0, int64(Now())) }
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,5 +1,6 @@
-// Package event keeps the recent events of a daemon, stamped so that the time
-// lines of all daemons merge with every cause before its effects.
+// Package event keeps the recent events of a daemon. Their timestamps come from a hybrid
+// logical clock, so that the events of all daemons can be merged into one timeline in which
+// every cause precedes its effects.
 package event
 
 import (
@@ -7,19 +8,19 @@
 	"time"
 )
 
-// Clock is a hybrid logical clock: microseconds of wall time, pushed ahead of
-// every stamp seen from another process. Source: Kulkarni et al., "Logical
-// Physical Clocks", 2014. Safe for concurrent use.
+// Clock is a hybrid logical clock: microseconds of wall time, advanced past every timestamp
+// observed from another process. See Kulkarni et al., "Logical Physical Clocks", 2014. Safe
+// for concurrent use.
 type Clock struct {
 	mu   sync.Mutex
 	last int64
 	now  func() time.Time
 }
 
-// NewClock returns a clock over this wall clock.
+// NewClock returns a clock that reads wall time from now.
 func NewClock(now func() time.Time) *Clock { return &Clock{now: now} }
 
-// Now returns a stamp above every stamp returned or observed before.
+// Now returns a timestamp greater than every timestamp returned or observed before.
 func (c *Clock) Now() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,17 +28,17 @@
 	return c.last
 }
 
-// Observe takes note of a stamp from another process.
-func (c *Clock) Observe(stamp int64) {
+// Observe advances the clock to a timestamp from another process, if that is later.
+func (c *Clock) Observe(timestamp int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = max(c.last, stamp)
+	c.last = max(c.last, timestamp)
 }
 
-// Kind says what happened.
+// Kind is the type of an event.
 type Kind string
 
-// The kinds of event.
+// The kinds of events.
 const (
 	CommandAppended  Kind = "command-appended"
 	CommandAccepted  Kind = "command-accepted"
@@ -75,7 +76,7 @@
 	Draining         Kind = "draining"
 )
 
-// Event is one thing that happened on one daemon.
+// Event is one recorded occurrence on one daemon.
 type Event struct {
 	Clock   int64  `json:"clock"`
 	VM      string `json:"vm"`
@@ -87,25 +88,26 @@
 	Detail  string `json:"detail,omitempty"`
 }
 
-// Ring keeps the last events of one daemon. Safe for concurrent use.
+// Ring keeps the most recent events of one daemon. Safe for concurrent use.
 type Ring struct {
 	clock *Clock
 	vm    string
 
 	mu     sync.Mutex
 	events []Event
-	next   int
+	// next is the index of the oldest event once the ring is full: the next one overwrites it.
+	next int
 }
 
-// NewRing returns a ring that keeps size events of that VM's daemon.
+// NewRing returns a ring that keeps the last size events of the daemon on VM vm.
 func NewRing(vm string, clock *Clock, size int) *Ring {
 	return &Ring{clock: clock, vm: vm, events: make([]Event, 0, size)}
 }
 
-// Clock returns the clock that stamps the ring's events.
+// Clock returns the clock that timestamps the ring's events.
 func (r *Ring) Clock() *Clock { return r.clock }
 
-// Add stamps and keeps an event, forgetting the oldest if the ring is full.
+// Add timestamps an event and stores it. If the ring is full, the oldest event is dropped.
 func (r *Ring) Add(e Event) {
 	e.Clock = r.clock.Now()
 	e.VM = r.vm
@@ -119,7 +121,7 @@
 	r.next = (r.next + 1) % len(r.events)
 }
 
-// List returns the events kept, oldest first.
+// List returns the stored events, oldest first.
 func (r *Ring) List() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/exit/exit.go
+++ b/internal/exit/exit.go
@@ -1,4 +1,4 @@
-// Package exit gives the programs' failures their exit codes.
+// Package exit maps errors to the exit codes of the programs.
 package exit
 
 import (
@@ -8,22 +8,24 @@
 	"github.com/pkg/errors"
 )
 
-// Codes that both programs use.
+// Exit codes of both programs.
 const (
-	Failed   = 1
+	// Failed is the code of an error that carries no code of its own.
+	Failed = 1
+	// BadInput means that arguments, settings or other input are invalid.
 	BadInput = 2
 )
 
-// Error is a failure with its exit code.
+// Error is an error with an exit code.
 type Error struct {
 	Code int
 	Err  error
 }
 
-// Error returns the reason.
+// Error returns the text of the wrapped error.
 func (e *Error) Error() string { return e.Err.Error() }
 
-// Code returns the exit code of a failure: the one it carries, or Failed.
+// Code returns the exit code that err carries, or Failed if it carries none.
 func Code(err error) int {
 	var e *Error
 	if errors.As(err, &e) {
@@ -32,7 +34,8 @@
 	return Failed
 }
 
-// OnUsage makes kong exit with BadInput for arguments it does not understand.
+// OnUsage returns an option that makes kong exit with BadInput if it cannot parse the
+// arguments.
 func OnUsage() kong.Option {
 	return kong.Exit(func(code int) {
 		if code != 0 {
