--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent runs a daemon: it feeds the control systems, does what they
-// ask for, and keeps the call path's view current.
+// Package agent runs a daemon: it feeds inputs to the control systems, performs the I/O that
+// they request, and keeps the call path's view of the configuration current.
 package agent
 
 import (
@@ -33,29 +33,29 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// inputQueue bounds the inputs waiting for a tick. A full queue holds the
-// connections' readers up, which slows the senders down.
-const inputQueue = 8192
+// inputQueueSize bounds the inputs that wait for a tick. A full queue blocks the readers of
+// the peer connections, which slows the senders down (backpressure).
+const inputQueueSize = 8192
 
-// DocumentSource delivers configurations that were made and numbered
-// elsewhere, as whole documents.
+// DocumentSource delivers configurations that are written and versioned outside this system,
+// as whole documents.
 type DocumentSource interface {
-	// Next returns the newest document: the first time at once, then as soon
-	// as there is a later one or wait has passed; and the orders for roll-outs that it
-	// read with it, also where the document cannot be used.
+	// Next returns the newest document: on the first call at once, on later calls as soon as
+	// there is a later document or wait has passed. It also returns the rollout orders that it
+	// read with the document, even if the document itself is invalid.
 	Next(ctx context.Context, wait time.Duration) (config.Document, []rollout.Order, error)
 }
 
-// Options are what a daemon is made of besides its settings.
+// Options are the dependencies of a daemon besides its settings.
 type Options struct {
 	Log    store.Log
 	Logger zerolog.Logger
-	// Source delivers the configuration. Nil: it is made by commands on the
-	// log.
+	// Source delivers the configuration. If nil, the configuration is built from the commands
+	// on the log.
 	Source DocumentSource
-	// Teller lets operators read how far roll-outs have come. Nil: they ask a daemon.
+	// Teller publishes the status of rollouts for operators. If nil, operators query a daemon.
 	Teller Teller
-	// Dialect names the headers spoken with callers and upstreams.
+	// Dialect names the HTTP headers used with callers and upstreams.
 	Dialect callpath.Dialect
 }
 
@@ -67,16 +67,16 @@
 	metrics       metrics.Registry
 	configMetrics *configMetrics
 	source        DocumentSource
-	teller        Teller
+	rolloutStatus Teller
 	self          wire.Member
 	clock         *event.Clock
 	events        *event.Ring
 
 	world *table.World
-	// suspects is shared by the tables and the call path.
+	// suspects is shared by the entity tables and the call path.
 	suspects   *suspect.Table
 	quarantine quarantineReader
-	// view is the one in force. Only the loop uses it.
+	// view is the view in force. Only loop uses it.
 	view      *view.View
 	transport *peer.Transport
 	owner     *callpath.Owner
@@ -85,19 +85,21 @@
 	servers   []*http.Server
 
 	ready atomic.Bool
-	// leaving is set once a stop has begun.
-	leaving  atomic.Bool
+	// stopping is set once Shutdown has begun.
+	stopping atomic.Bool
 	inputs   chan system.Input
 	commands commandTable
-	reading  atomic.Bool
-	// readingQuarantine is set while a read of quarantined requests waits at the store.
+	// readingConfig is set while a read of the configuration is in progress.
+	readingConfig atomic.Bool
+	// readingQuarantine is set while a read of quarantined requests is in progress.
 	readingQuarantine atomic.Bool
-	// readingRollouts is set while the store's records of roll-outs are read.
+	// readingRollouts is set while a read of the rollout records is in progress.
 	readingRollouts atomic.Bool
-	stop            context.Context
-	end             context.CancelFunc
-	running         sync.WaitGroup
-	killed          sync.Once
+	// ctx is cancelled when the daemon is killed.
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	killOnce   sync.Once
 }
 
 // listeners are the daemon's open listeners.
@@ -109,7 +111,7 @@
 	local   net.Listener
 }
 
-// Addresses are where a daemon listens.
+// Addresses are the addresses on which a daemon listens.
 type Addresses struct {
 	Callers string `json:"callers"`
 	Admin   string `json:"admin"`
@@ -118,7 +120,7 @@
 	Local   string `json:"local"`
 }
 
-// New opens the daemon's listeners. Nothing is served before Start.
+// New creates a daemon and opens its listeners. Nothing is served before Start.
 func New(s settings.Settings, opts Options) (*Agent, error) {
 	ls, err := openListeners(s.Listen)
 	if err != nil {
@@ -126,19 +128,19 @@
 	}
 	now := time.Now()
 	a := &Agent{
-		settings: s, log: opts.Log, logger: opts.Logger, source: opts.Source, teller: opts.Teller, metrics: metrics.NewRegistry(),
+		settings: s, log: opts.Log, logger: opts.Logger, source: opts.Source, rolloutStatus: opts.Teller, metrics: metrics.NewRegistry(),
 		clock: event.NewClock(time.Now), listeners: ls,
-		inputs: make(chan system.Input, inputQueue),
+		inputs: make(chan system.Input, inputQueueSize),
 	}
-	a.stop, a.end = context.WithCancel(context.Background())
+	a.ctx, a.cancel = context.WithCancel(context.Background())
 	a.events = event.NewRing(s.VM, a.clock, s.Events)
 	a.commands.waiters = map[string][]chan struct{}{}
 	seed := uint64(now.UnixNano())
-	a.self = a.member(now)
+	a.self = a.selfMember(now)
 	params := s.Params()
 	params.Documents = opts.Source != nil
 	a.suspects = suspect.NewTable(time.Now)
-	a.quarantine = quarantineReader{topic: store.NewFollower(opts.Log, store.QuarantineTopic, 0), logger: opts.Logger}
+	a.quarantine = quarantineReader{follower: store.NewFollower(opts.Log, store.QuarantineTopic, 0), logger: opts.Logger}
 	a.world = table.New(a.self, params, a.suspects, now, seed)
 	a.transport = peer.New(a.input, a.clock, s.Listen.SourceAddr(), a.metrics)
 	a.configMetrics = newConfigMetrics(a.metrics)
@@ -196,7 +198,7 @@
 	}
 }
 
-func (a *Agent) member(now time.Time) wire.Member {
+func (a *Agent) selfMember(now time.Time) wire.Member {
 	return wire.Member{
 		ID: a.settings.VM, Domain: a.settings.FailureDomain, Region: a.settings.Region,
 		Peer:  cmp.Or(a.settings.Listen.AdvertisePeers, a.listeners.peers.Addr().String()),
@@ -205,7 +207,7 @@
 	}
 }
 
-// Addresses returns where the daemon listens.
+// Addresses returns the addresses on which the daemon listens.
 func (a *Agent) Addresses() Addresses {
 	return Addresses{
 		Callers: a.listeners.callers.Addr().String(), Admin: a.listeners.admin.Addr().String(),
@@ -220,20 +222,21 @@
 // Metrics returns the daemon's metrics.
 func (a *Agent) Metrics() metrics.Registry { return a.metrics }
 
-// Loads returns the load of each upstream on this VM, and what other owners
-// reported lately of theirs.
+// Loads returns the load of each upstream on this VM, and the loads that other owners
+// reported within the last seconds for theirs.
 func (a *Agent) Loads() map[string]outcome.Load {
 	loads := a.ingress.Loads()
 	maps.Copy(loads, a.owner.Loads())
 	return loads
 }
 
-// Start serves everything; admin is the administration API's handler.
+// Start starts the control loop and serves all listeners. Admin is the handler of the
+// administration API.
 func (a *Agent) Start(admin http.Handler) {
 	a.events.Add(event.Event{Kind: event.Started})
-	a.goRun(a.loop)
-	a.goRun(a.watchSuspects)
-	a.goRun(func() { a.transport.Serve(a.listeners.peers) })
+	a.spawn(a.loop)
+	a.spawn(a.watchSuspects)
+	a.spawn(func() { a.transport.Serve(a.listeners.peers) })
 	a.serve(a.listeners.callers, a.ingress)
 	a.serve(a.listeners.owner, a.owner)
 	a.serve(a.listeners.admin, admin)
@@ -241,54 +244,54 @@
 	a.logger.Info().Interface("listen", a.Addresses()).Msg("listening")
 }
 
-func (a *Agent) goRun(f func()) {
-	a.running.Add(1)
+func (a *Agent) spawn(f func()) {
+	a.goroutines.Add(1)
 	go func() {
-		defer a.running.Done()
+		defer a.goroutines.Done()
 		f()
 	}()
 }
 
 const (
-	// headerTimeout bounds the reading of a request's headers.
-	headerTimeout = 10 * time.Second
-	// callerIdle is how long an idle connection is kept. It is longer than
-	// the daemons' own clients keep theirs, so that they close first.
-	callerIdle = 3 * time.Minute
+	// readHeaderTimeout bounds the reading of a request's headers.
+	readHeaderTimeout = 10 * time.Second
+	// serverIdleTimeout is how long an idle connection is kept open. It is longer than the idle
+	// timeout of the daemons' own clients, so that the client side closes first.
+	serverIdleTimeout = 3 * time.Minute
 )
 
 func (a *Agent) serve(ln net.Listener, h http.Handler) {
 	srv := &http.Server{
-		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdle,
+		Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: serverIdleTimeout,
 		MaxHeaderBytes: a.settings.Calls.MaxHeader, ConnContext: callpath.WithConn,
 	}
 	a.servers = append(a.servers, srv)
-	a.goRun(func() {
+	a.spawn(func() {
 		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 			a.logger.Error().Str("step", "serve").Str("peer", ln.Addr().String()).Err(err).Msg("listener failed")
 		}
 	})
 }
 
-// Reload takes in settings that may change while the daemon runs: addresses
-// to find others through. It reports whether others differ from those held,
-// which need a restart.
+// Reload applies the one setting that may change while the daemon runs: the addresses of
+// peers to join through (control.peers). It reports whether any other setting differs from
+// the settings in use, which takes a restart to apply.
 func (a *Agent) Reload(s settings.Settings) (needsRestart bool) {
 	a.input(system.SeedsFound{Addrs: s.Control.Peers})
 	s.Control.Peers = a.settings.Control.Peers
 	return !reflect.DeepEqual(s, a.settings)
 }
 
-// input hands an input to the next tick.
+// input queues an input for the next tick. It blocks while the queue is full.
 func (a *Agent) input(in system.Input) {
 	select {
 	case a.inputs <- in:
-	case <-a.stop.Done():
+	case <-a.ctx.Done():
 	}
 }
 
-// install puts a new view in force, in the call path's order: the owner
-// first, so that it never refuses what the ingress already sends.
+// install puts a new view in force. The owner is updated before the ingress, so that it never
+// refuses calls which the ingress already routes by the new view.
 func (a *Agent) install(v *view.View) {
 	if err := v.Consistent(); err != nil {
 		a.logger.Error().Str("step", "view").Err(err).Msg("inconsistent view not put in force")
@@ -298,15 +301,15 @@
 	a.view = v
 	a.owner.Update(v)
 	a.ingress.Update(v)
-	a.ready.Store(v.Ready && !a.leaving.Load())
+	a.ready.Store(v.Ready && !a.stopping.Load())
 }
 
-// Ready reports whether this daemon serves calls, those included that need a key, and does
-// not leave.
+// Ready reports whether this daemon serves calls, including those that need a key, and is not
+// stopping.
 func (a *Agent) Ready() bool { return a.ready.Load() && !a.ingress.Stale() }
 
-// Listen adds a listener for something besides the agent's own interfaces.
-// It is served from now on and closed with the others.
+// Listen opens a listener besides the agent's own interfaces and serves h on it. It is closed
+// with the others.
 func (a *Agent) Listen(name, addr string, h http.Handler) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -10,8 +10,8 @@
 
 var fleetSizes = []int{32, 64, 128, 256}
 
-// BenchmarkConvergence measures from the submission of a change to its being
-// in force on every daemon.
+// BenchmarkConvergence measures the time from the submission of a change until it is in force,
+// for each daemon.
 func BenchmarkConvergence(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// BenchmarkStart measures what it takes each daemon until all that started at once know each
-// other, found over the log.
+// BenchmarkStart measures what a simultaneous start costs each daemon until all of them, which
+// find each other through the log, know each other.
 func BenchmarkStart(b *testing.B) {
 	for _, n := range []int{100, 300} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
@@ -58,54 +58,53 @@
 	}
 }
 
-// causes are the kinds of control message that bytes are split by.
-var causes = []string{"ping", "members", "members-pull", "pull", "records", "snapshot", "hello"}
+// messageKinds are the kinds of control messages for which bytes are reported separately.
+var messageKinds = []string{"ping", "members", "members-pull", "pull", "records", "snapshot", "hello"}
 
-// controlWindow is how long control traffic is watched.
-const controlWindow = 20 * time.Second
+// controlDuration is how long control traffic is measured.
+const controlDuration = 20 * time.Second
 
-// BenchmarkControl measures what a daemon spends on control while nothing
-// happens and while the configuration changes: bytes at the socket, by cause,
-// processor time and memory.
+// BenchmarkControl measures the cost of the control plane per daemon, while idle and while the
+// configuration changes: bytes at the socket, bytes by kind of message, CPU time and memory.
 func BenchmarkControl(b *testing.B) {
 	for _, n := range fleetSizes {
 		for _, perSecond := range []int{0, 2} {
 			b.Run(fmt.Sprintf("daemons=%d/changes=%d", n, perSecond), func(b *testing.B) {
 				before := heapBytes()
 				f := startFleet(b, n, func(s *settings.Settings) {
-					// A window of the benchmark holds two renewals of each.
-					s.Control.Renew = settings.Duration(controlWindow / 2)
-					s.Control.Lapse = settings.Duration(3 * controlWindow)
+					// Each daemon renews its record twice within the measurement.
+					s.Control.Renew = settings.Duration(controlDuration / 2)
+					s.Control.Lapse = settings.Duration(3 * controlDuration)
 				})
 				f.converged(f.publish(0))
 				time.Sleep(2 * time.Second)
-				watchControl(b, f, perSecond)
+				measureControl(b, f, perSecond)
 				b.ReportMetric(float64(heapBytes()-before)/float64(n)/1024, "heap-KB/daemon")
 			})
 		}
 	}
 }
 
-func watchControl(b *testing.B, f *fleet, perSecond int) {
+func measureControl(b *testing.B, f *fleet, perSecond int) {
 	n := float64(len(f.agents))
 	sums := map[string]int64{}
 	highest := map[string]int64{}
 	names := []string{"control.bytes_out", "control.bytes_in"}
-	for _, c := range causes {
+	for _, c := range messageKinds {
 		names = append(names, "control.sent_bytes."+c)
 	}
 	for _, name := range names {
 		sums[name], highest[name] = f.counters(name)
 	}
 	cpu := cpuTime()
-	for i := range int(controlWindow.Seconds()) * max(1, perSecond) {
+	for i := range int(controlDuration.Seconds()) * max(1, perSecond) {
 		if perSecond > 0 {
 			f.publish(i + 1)
 		}
 		time.Sleep(time.Second / time.Duration(max(1, perSecond)))
 	}
-	seconds := controlWindow.Seconds()
-	b.ReportMetric(100*float64(cpuTime()-cpu)/float64(controlWindow)/n, "%core/daemon")
+	seconds := controlDuration.Seconds()
+	b.ReportMetric(100*float64(cpuTime()-cpu)/float64(controlDuration)/n, "%core/daemon")
 	for _, name := range names {
 		sum, top := f.counters(name)
 		b.ReportMetric(float64(sum-sums[name])/n/seconds, name+"-B/s/daemon")
@@ -115,8 +114,8 @@
 	}
 }
 
-// BenchmarkWindow measures both ends of the one setting between convergence
-// time and control bytes, with three changes a second in bursts.
+// BenchmarkWindow measures the trade-off of control.window between convergence time and
+// control traffic, with a burst of three changes each second.
 func BenchmarkWindow(b *testing.B) {
 	for _, window := range []time.Duration{20 * time.Millisecond, 100 * time.Millisecond, time.Second} {
 		b.Run(window.String(), func(b *testing.B) {
--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	// unknownMax bounds the commands of unknown outcome that are remembered.
-	unknownMax = 256
-	// outcomeWait bounds the wait for a command to be read back.
-	outcomeWait = 5 * time.Second
+	// maxUnknownCommands bounds the commands of unknown outcome that are kept for operators.
+	maxUnknownCommands = 256
+	// outcomeTimeout bounds the wait for a command to be read back from the log.
+	outcomeTimeout = 5 * time.Second
 )
 
-// ownedElsewhere refuses commands where the configuration is not theirs.
-const ownedElsewhere = "the configuration here is the platform operator's: change it there"
+// reasonManagedByPlatform is the reason for which commands are rejected if the configuration
+// is delivered by a DocumentSource.
+const reasonManagedByPlatform = "the configuration here is the platform operator's: change it there"
 
-// Unknown is a command whose outcome was not learned in time.
+// Unknown is a command whose outcome was not known in time.
 type Unknown struct {
 	ID     string
 	Author string
@@ -32,7 +33,7 @@
 	At     time.Time
 }
 
-// commandTable holds the commands submitted through this daemon.
+// commandTable tracks the commands submitted through this daemon.
 type commandTable struct {
 	mu      sync.Mutex
 	state   *config.State
@@ -40,8 +41,9 @@
 	unknown []Unknown
 }
 
-// settle wakes those whose command now has an outcome.
-func (t *commandTable) settle(s *config.State) {
+// update stores the new state. It wakes the waiters whose command has an outcome in it, and
+// removes the commands whose outcome is no longer unknown.
+func (t *commandTable) update(s *config.State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.state == s {
@@ -66,8 +68,8 @@
 	t.unknown = kept
 }
 
-// await returns a channel that is closed once the command has an outcome.
-func (t *commandTable) await(id string) <-chan struct{} {
+// subscribe returns a channel that is closed when the command has an outcome.
+func (t *commandTable) subscribe(id string) <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ch := make(chan struct{})
@@ -90,11 +92,11 @@
 	return t.state.Outcome(id)
 }
 
-func (t *commandTable) setUnknown(u Unknown) {
+func (t *commandTable) recordUnknown(u Unknown) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.unknown = append(t.unknown, u)
-	t.unknown = t.unknown[max(0, len(t.unknown)-unknownMax):]
+	t.unknown = t.unknown[max(0, len(t.unknown)-maxUnknownCommands):]
 }
 
 // Unknowns returns the commands submitted here whose outcome is not known.
@@ -104,23 +106,23 @@
 	return append([]Unknown(nil), a.commands.unknown...)
 }
 
-// Held returns the configuration this daemon holds.
+// Held returns this daemon's current configuration.
 func (a *Agent) Held() *config.State {
 	s := config.Empty()
 	a.Inspect(func(w *table.World) { s = w.Config.State })
 	return s
 }
 
-// Submit sends a command through the log and waits until its outcome was read
-// back. An empty ID is filled in. If the outcome cannot be learned now, the
-// status is StatusUnknown, at once: the operator asks again by ID, or sends
-// the same command with the same ID, which runs it once at most.
+// Submit appends a command to the log and waits until its outcome has been read back. An empty
+// ID is replaced by a new one. If the append fails, outcomeTimeout passes or ctx ends first,
+// the status is StatusUnknown: the operator may query the outcome by ID, or submit the same
+// command again with the same ID, which executes it at most once.
 func (a *Agent) Submit(ctx context.Context, cmd config.Command) config.Outcome {
 	if cmd.ID == "" {
 		cmd.ID = uuid.NewString()
 	}
 	if a.source != nil {
-		return config.Outcome{ID: cmd.ID, Author: cmd.Author, Status: config.Rejected, Reason: ownedElsewhere}
+		return config.Outcome{ID: cmd.ID, Author: cmd.Author, Status: config.Rejected, Reason: reasonManagedByPlatform}
 	}
 	if err := cmd.Validate(); err != nil {
 		return config.Outcome{ID: cmd.ID, Author: cmd.Author, Status: config.Rejected, Reason: err.Error()}
@@ -132,34 +134,34 @@
 	if err != nil {
 		return config.Outcome{ID: cmd.ID, Author: cmd.Author, Status: config.Rejected, Reason: err.Error()}
 	}
-	done := a.commands.await(cmd.ID)
+	done := a.commands.subscribe(cmd.ID)
 	if _, err := a.log.Append(ctx, store.ConfigTopic, data); err != nil {
-		return a.unknown(cmd, err.Error())
+		return a.unknownOutcome(cmd, err.Error())
 	}
 	a.events.Add(event.Event{Kind: event.CommandAppended, Request: cmd.ID})
-	timer := time.NewTimer(outcomeWait)
+	timer := time.NewTimer(outcomeTimeout)
 	defer timer.Stop()
 	select {
 	case <-done:
 		o, _ := a.commands.outcome(cmd.ID)
 		return o
 	case <-timer.C:
-		return a.unknown(cmd, "not read back from the log in time")
+		return a.unknownOutcome(cmd, "command was not read back from the log in time")
 	case <-ctx.Done():
-		return a.unknown(cmd, "the operator left")
+		return a.unknownOutcome(cmd, "request was cancelled before the command was read back from the log")
 	}
 }
 
-func (a *Agent) unknown(cmd config.Command, reason string) config.Outcome {
-	a.commands.setUnknown(Unknown{ID: cmd.ID, Author: cmd.Author, Reason: reason, At: time.Now()})
+func (a *Agent) unknownOutcome(cmd config.Command, reason string) config.Outcome {
+	a.commands.recordUnknown(Unknown{ID: cmd.ID, Author: cmd.Author, Reason: reason, At: time.Now()})
 	return config.Outcome{ID: cmd.ID, Author: cmd.Author, Status: config.StatusUnknown, Reason: reason}
 }
 
-// Reseed starts a replacement log with the configuration held. It refuses
+// Reseed appends a checkpoint of this daemon's configuration to a replacement log. It refuses
 // while another daemon is known to have a later version in force.
 func (a *Agent) Reseed(ctx context.Context) (version uint64, refusal string) {
 	if a.source != nil {
-		return 0, ownedElsewhere
+		return 0, reasonManagedByPlatform
 	}
 	var state *config.State
 	a.Inspect(func(w *table.World) {
@@ -181,11 +183,11 @@
 
 func reseedRefusal(w *table.World) string {
 	if _, gap := w.Alarms[system.AlarmGap]; !gap && !w.Log.Regressed {
-		return "this daemon reads the log or hears from those who do: nothing to mend (show alarms at a root)"
+		return "this daemon follows the log, itself or through its peers: no reseed is needed (show alarms at a root)"
 	}
 	for id, row := range w.Members {
 		if !row.Lapsed && row.Beat.Applied > w.Config.State.Version {
-			return "daemon " + id + " has a later version in force: reseed there"
+			return "daemon " + id + " has a later version in force: run reseed on that daemon"
 		}
 	}
 	return ""
--- a/internal/agent/configmetrics.go
+++ b/internal/agent/configmetrics.go
@@ -12,66 +12,69 @@
 	"github.com/comfreygate/comfreygate/internal/table"
 )
 
-// configMetrics tell which configuration this daemon holds, how old that is, and what became
-// of the documents it has read. The loop writes them, whoever asks for metrics reads them.
+// configMetrics are the metrics of this daemon's configuration: its version, its age, and the
+// numbers of documents read and refused. Only the loop writes them; readers of the metrics
+// registry read them concurrently.
 type configMetrics struct {
 	version atomic.Uint64
-	// since is when the version was taken in, in Unix milliseconds; checked is a
-	// freshness.Stamp.
-	since   atomic.Int64
-	checked atomic.Int64
-	// read counts documents read, refused those that were not put in force.
-	read    metrics.Counter
-	refused metrics.Counter
+	// installedAtMs is when the current version was installed, in Unix milliseconds.
+	// lastConfirmed is the freshness.Stamp at which it was last known to be the newest.
+	installedAtMs atomic.Int64
+	lastConfirmed atomic.Int64
+	// documentsRead counts the documents read, including those counted in documentsRefused,
+	// which were not put in force.
+	documentsRead    metrics.Counter
+	documentsRefused metrics.Counter
 }
 
-// newConfigMetrics registers them. Ages are in milliseconds, -1 where there is none.
+// newConfigMetrics registers the metrics in r. Ages are in milliseconds, or -1 if unknown.
 func newConfigMetrics(r metrics.Registry) *configMetrics {
 	m := &configMetrics{
-		read: metrics.GetOrRegisterCounter("documents.read", r), refused: metrics.GetOrRegisterCounter("documents.refused", r),
+		documentsRead: metrics.GetOrRegisterCounter("documents.read", r), documentsRefused: metrics.GetOrRegisterCounter("documents.refused", r),
 	}
 	gauge := func(name string, value func() int64) {
 		r.GetOrRegister("config."+name, metrics.NewFunctionalGauge(value))
 	}
 	gauge("version", func() int64 { return int64(m.version.Load()) })
-	gauge("age_ms", m.age)
-	gauge("checked_ms", m.checkedAge)
+	gauge("age_ms", m.ageMs)
+	gauge("checked_ms", m.confirmedAgeMs)
 	return m
 }
 
-func (m *configMetrics) age() int64 {
-	since := m.since.Load()
-	if since == 0 {
+func (m *configMetrics) ageMs() int64 {
+	installed := m.installedAtMs.Load()
+	if installed == 0 {
 		return -1
 	}
-	return time.Now().UnixMilli() - since
+	return time.Now().UnixMilli() - installed
 }
 
-// checkedAge returns how long ago the version held was known to be the newest on the store.
-func (m *configMetrics) checkedAge() int64 {
-	stamp := freshness.Stamp(m.checked.Load())
+// confirmedAgeMs returns how long ago the current version was last known to be the newest on
+// the store.
+func (m *configMetrics) confirmedAgeMs() int64 {
+	stamp := freshness.Stamp(m.lastConfirmed.Load())
 	if stamp == 0 {
 		return -1
 	}
 	return stamp.Age(boottime.Now()).Milliseconds()
 }
 
-// update takes over what a tick has led to.
+// update copies the version, its freshness and its installation time after a tick.
 func (m *configMetrics) update(w *table.World) {
 	m.version.Store(w.Config.State.Version)
-	m.checked.Store(int64(w.Fresh.Stamp))
+	m.lastConfirmed.Store(int64(w.Fresh.Stamp))
 	if !w.Config.Since.IsZero() {
-		m.since.Store(w.Config.Since.UnixMilli())
+		m.installedAtMs.Store(w.Config.Since.UnixMilli())
 	}
 }
 
-// count counts what an event tells of documents.
-func (m *configMetrics) count(e event.Event) {
+// countEvent counts the events about documents. A document that was refused was also read.
+func (m *configMetrics) countEvent(e event.Event) {
 	switch e.Kind {
 	case event.DocumentRead:
-		m.read.Inc(1)
+		m.documentsRead.Inc(1)
 	case event.DocumentRefused:
-		m.read.Inc(1)
-		m.refused.Inc(1)
+		m.documentsRead.Inc(1)
+		m.documentsRefused.Inc(1)
 	}
 }
--- a/internal/agent/configmetrics_test.go
+++ b/internal/agent/configmetrics_test.go
@@ -12,8 +12,9 @@
 	"github.com/comfreygate/comfreygate/internal/table"
 )
 
-// TestConfigurationIsMeasured covers what operators see of a version that stands still.
-func TestConfigurationIsMeasured(t *testing.T) {
+// TestConfigMetrics checks the metrics by which operators notice that the configuration no
+// longer changes: its version and age, and the counts of documents read and refused.
+func TestConfigMetrics(t *testing.T) {
 	is := is.New(t)
 	r := metrics.NewRegistry()
 	m := newConfigMetrics(r)
@@ -25,10 +26,10 @@
 	w.Config.State = &config.State{Version: 11}
 	w.Config.Since = time.Now().Add(-time.Minute)
 	m.update(w)
-	m.count(event.Event{Kind: event.DocumentRead})
-	m.count(event.Event{Kind: event.DocumentRefused})
+	m.countEvent(event.Event{Kind: event.DocumentRead})
+	m.countEvent(event.Event{Kind: event.DocumentRefused})
 	is.Equal(gauge("config.version"), int64(11))
 	is.True(gauge("config.age_ms") >= 60_000)
-	is.Equal(m.read.Count(), int64(2))
-	is.Equal(m.refused.Count(), int64(1))
+	is.Equal(m.documentsRead.Count(), int64(2))
+	is.Equal(m.documentsRefused.Count(), int64(1))
 }
--- a/internal/agent/drain.go
+++ b/internal/agent/drain.go
@@ -10,33 +10,33 @@
 	"github.com/pkg/errors"
 )
 
-// drainListener can be closed without cutting connections that the kernel has
-// opened and nobody has accepted yet: closing a listener ends those.
+// drainListener is a TCP listener that can be closed without resetting the connections that
+// the kernel has established but Accept has not returned yet. Closing a plain listener resets
+// those.
 type drainListener struct {
 	*net.TCPListener
 	draining atomic.Bool
-	// rest holds the connections that were open when the listener was closed.
-	// Only Accept uses it.
-	rest   []net.Conn
-	closed bool
-	done   chan struct{}
-	close  sync.Once
+	// pending holds the established connections that were not accepted when the listener was
+	// closed. drained is set once they have been collected. Only Accept uses both.
+	pending   []net.Conn
+	drained   bool
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
 func newDrainListener(l *net.TCPListener) *drainListener {
 	return &drainListener{TCPListener: l, done: make(chan struct{})}
 }
 
-// Close implements net.Listener. Closing it again is no error: a server that
-// shuts down closes its listeners too, and would report that calls were cut.
+// Close implements net.Listener. Closing it again is not an error: http.Server.Shutdown closes
+// its listeners too, and an error from that would be reported as a failed drain.
 func (l *drainListener) Close() error {
 	var err error
-	l.close.Do(func() { err = l.TCPListener.Close() })
+	l.closeOnce.Do(func() { err = l.TCPListener.Close() })
 	return err
 }
 
-// drain closes the listener and waits until Accept has returned the
-// connections that were there.
+// drain closes the listener and waits until Accept has returned all pending connections.
 func (l *drainListener) drain() error {
 	l.draining.Store(true)
 	if err := l.SetDeadline(time.Now()); err != nil {
@@ -46,23 +46,23 @@
 	return nil
 }
 
-// Accept implements net.Listener. After drain it returns the connections that
-// are there and then net.ErrClosed.
+// Accept implements net.Listener. After drain it returns the pending connections and then
+// net.ErrClosed.
 func (l *drainListener) Accept() (net.Conn, error) {
-	if !l.closed {
+	if !l.drained {
 		c, err := l.TCPListener.Accept()
 		if !l.draining.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return c, err
 		}
-		l.rest = acceptRest(l.TCPListener)
-		l.closed = true
+		l.pending = acceptPending(l.TCPListener)
+		l.drained = true
 		l.Close()
 	}
-	if len(l.rest) == 0 {
+	if len(l.pending) == 0 {
 		close(l.done)
 		return nil, net.ErrClosed
 	}
-	c := l.rest[0]
-	l.rest = l.rest[1:]
+	c := l.pending[0]
+	l.pending = l.pending[1:]
 	return c, nil
 }
--- a/internal/agent/drain_linux.go
+++ b/internal/agent/drain_linux.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// acceptRest takes the connections that wait at the listener and, in the same
-// breath, lets it take no more: with a wait between the two, a connection
-// could come in and be cut.
-func acceptRest(l *net.TCPListener) []net.Conn {
+// acceptPending accepts the connections that are pending at the listener and shuts it down as
+// soon as the queue is empty. With a pause between the two, a connection could be established
+// in between and then be reset.
+func acceptPending(l *net.TCPListener) []net.Conn {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return nil
@@ -24,7 +24,7 @@
 				fds = append(fds, conn)
 			case unix.EINTR, unix.ECONNABORTED:
 			default:
-				// The listener is closed right after this in any case.
+				// An error can be ignored: the caller closes the listener next in any case.
 				_ = unix.Shutdown(int(fd), unix.SHUT_RDWR)
 				return
 			}
@@ -33,11 +33,12 @@
 	if err != nil {
 		return nil
 	}
-	return connsOf(fds)
+	return connsFromFDs(fds)
 }
 
-// connsOf turns accepted sockets into connections.
-func connsOf(fds []int) []net.Conn {
+// connsFromFDs converts accepted sockets to connections. Sockets for which that fails are
+// closed.
+func connsFromFDs(fds []int) []net.Conn {
 	var conns []net.Conn
 	for _, fd := range fds {
 		f := os.NewFile(uintptr(fd), "accepted")
--- a/internal/agent/drain_other.go
+++ b/internal/agent/drain_other.go
@@ -4,6 +4,6 @@
 
 import "net"
 
-// acceptRest does nothing here: a connection that comes in at the very end of
-// a drain may be cut.
-func acceptRest(*net.TCPListener) []net.Conn { return nil }
+// acceptPending does nothing on this platform: connections that are pending when the listener
+// is drained may be reset.
+func acceptPending(*net.TCPListener) []net.Conn { return nil }
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -9,9 +9,10 @@
 	"github.com/pkg/errors"
 )
 
-// TestDrainedListenerCutsNobody opens connections that nobody has accepted,
-// drains the listener, and demands that each is served.
-func TestDrainedListenerCutsNobody(t *testing.T) {
+// TestDrainServesPendingConnections guards against a drain that resets connections which are
+// established but not yet accepted: it drains a listener with pending connections and expects
+// each of them to be served.
+func TestDrainServesPendingConnections(t *testing.T) {
 	is := is.New(t)
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -46,5 +47,5 @@
 	}
 	_, err = net.Dial("tcp", l.Addr().String())
 	is.True(err != nil) // closed
-	is.NoErr(l.Close()) // a server's Shutdown closes it once more
+	is.NoErr(l.Close()) // http.Server.Shutdown closes it again
 }
--- a/internal/agent/fleet_test.go
+++ b/internal/agent/fleet_test.go
@@ -25,10 +25,11 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// domainsOfFleet is the number of failure domains in the size to design for.
-const domainsOfFleet = 7
+// fleetDomains is the number of failure domains in the deployment that the daemon is designed
+// for.
+const fleetDomains = 7
 
-// fleet is many daemons in this process, over real loopback sockets.
+// fleet is a set of daemons in the test process that communicate over loopback sockets.
 type fleet struct {
 	t      testing.TB
 	log    *devlog.Log
@@ -36,7 +37,8 @@
 	tune   func(*settings.Settings)
 }
 
-// startFleet starts n daemons and waits until each knows all others.
+// startFleet starts n daemons and waits until each knows all others. Tune may change the
+// settings of each; nil leaves them as they are.
 func startFleet(t testing.TB, n int, tune func(*settings.Settings)) *fleet {
 	t.Helper()
 	f := &fleet{t: t, log: devlog.New(), tune: tune}
@@ -57,8 +59,8 @@
 	})
 }
 
-// restart kills all daemons at once and starts them at once, with new
-// addresses, as replaced VMs have.
+// restart kills all daemons at once and starts as many at once, with new addresses, as
+// replaced VMs would have.
 func (f *fleet) restart() {
 	n := len(f.agents)
 	f.close()
@@ -71,7 +73,7 @@
 func (f *fleet) add(i int) {
 	s := settings.Default()
 	s.VM = fmt.Sprintf("vm-%03d", i)
-	s.FailureDomain = fmt.Sprintf("domain-%d", i%domainsOfFleet)
+	s.FailureDomain = fmt.Sprintf("domain-%d", i%fleetDomains)
 	const anyPort = "127.0.0.1:0"
 	s.Listen = settings.Listen{Callers: anyPort, Admin: anyPort, Peers: anyPort, Owner: anyPort, Local: anyPort}
 	s.Control.Grace = settings.Duration(500 * time.Millisecond)
@@ -105,7 +107,7 @@
 		for ok := false; !ok; {
 			a.Inspect(func(w *table.World) { ok = holds(w) })
 			if !ok && time.Now().After(deadline) {
-				f.t.Fatalf("%s: not so in time", what)
+				f.t.Fatalf("timed out waiting for condition: %s", what)
 			}
 			if !ok {
 				time.Sleep(5 * time.Millisecond)
@@ -114,17 +116,17 @@
 	}
 }
 
-// publish publishes a change through a daemon and returns its version.
+// publish submits change i through a daemon and returns the version that it created.
 func (f *fleet) publish(i int) uint64 {
 	f.t.Helper()
 	o := f.agents[i%len(f.agents)].Submit(context.Background(), config.Command{Changes: change(f.t, i)})
 	if o.Status != config.Accepted {
-		f.t.Fatalf("change %d: %s %s", i, o.Status, o.Reason)
+		f.t.Fatalf("change %d: status %s, want accepted: %s", i, o.Status, o.Reason)
 	}
 	return o.Version
 }
 
-// publishMany puts n changes on the log at once and returns the last version.
+// publishMany appends n changes directly to the log and returns the last version.
 func (f *fleet) publishMany(n int) uint64 {
 	f.t.Helper()
 	var last uint64
@@ -140,7 +142,7 @@
 	return last + 1
 }
 
-// change returns a change set of about 300 bytes.
+// change returns change set i, of about 300 bytes.
 func change(t testing.TB, i int) []config.Change {
 	t.Helper()
 	st, err := lang.Parse(fmt.Sprintf("put service s%d ramp 5s; put policy p urgency normal timeout 1s; put caller c; "+
@@ -151,8 +153,8 @@
 	return st.Changes
 }
 
-// converged waits until the version is in force on every daemon and returns
-// when it was so on each.
+// converged waits until the version is in force on every daemon and returns the time at which
+// each applied it.
 func (f *fleet) converged(version uint64) []time.Time {
 	f.await("version in force", func(w *table.World) bool { return w.Self.Beat.Applied >= version })
 	times := make([]time.Time, 0, len(f.agents))
@@ -167,7 +169,7 @@
 	return times
 }
 
-// counters returns the sum of a counter and its highest value on one daemon.
+// counters returns the sum of a counter over all daemons and its highest value on any of them.
 func (f *fleet) counters(name string) (sum, highest int64) {
 	for _, a := range f.agents {
 		n := metrics.GetOrRegisterCounter(name, a.Metrics()).Count()
@@ -192,7 +194,7 @@
 	return m.HeapAlloc + m.StackInuse
 }
 
-// quantile returns the q-quantile in milliseconds.
+// quantile returns the q-quantile of d in milliseconds. It sorts d.
 func quantile(d []time.Duration, q float64) float64 {
 	slices.Sort(d)
 	return float64(d[int(q*float64(len(d)-1))].Microseconds()) / 1000
--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -17,20 +17,20 @@
 	"github.com/comfreygate/comfreygate/internal/table"
 )
 
-// drainOfTest is how long callers take to notice that a daemon leaves.
-const drainOfTest = 600 * time.Millisecond
+// testDrain is how long callers take to notice that a daemon is stopping.
+const testDrain = 600 * time.Millisecond
 
-// leavingPair starts two daemons, of which the first owns the only upstream of the
-// service that route /r0 leads to. Calls of /r0/slow take 800 ms there.
-func leavingPair(t *testing.T) *fleet {
+// startLeavingPair starts two daemons. The first owns the only upstream of the service of route
+// /r0. Calls of /r0/slow take 800 ms there.
+func startLeavingPair(t *testing.T) *fleet {
 	t.Helper()
 	f := startFleet(t, 2, func(s *settings.Settings) {
-		s.Calls.Drain = settings.Duration(drainOfTest)
+		s.Calls.Drain = settings.Duration(testDrain)
 		s.Bounds.Stop = settings.Duration(6 * time.Second)
 	})
 	up := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/r0/slow" {
-			time.Sleep(800 * time.Millisecond) // the work itself
+			time.Sleep(800 * time.Millisecond) // simulated work
 		}
 	}))
 	t.Cleanup(up.Close)
@@ -48,7 +48,7 @@
 	return f
 }
 
-// call sends a call to a daemon and returns its outcome.
+// call sends a call to daemon i and returns its outcome.
 func (f *fleet) call(i int, path string) outcome.Kind {
 	req, err := http.NewRequest(http.MethodPost, "http://"+f.agents[i].Addresses().Callers+path, nil)
 	if err != nil {
@@ -68,25 +68,26 @@
 	return outcome.Kind(res.Header.Get(callpath.HeaderOutcome))
 }
 
-// TestStoppingDaemonServesOthersUntilItsCallersHaveGone stops the daemon that owns the
-// only upstream. Grounds: in rolling restarts of 45 of 87 VMs, five at once, each took
-// its healthy upstream from all others for the 4.2 to 4.6 s of its whole stop, so that
-// 13 to 16 upstreams were missing at any time and the least urgent calls were refused.
-func TestStoppingDaemonServesOthersUntilItsCallersHaveGone(t *testing.T) {
+// TestStoppingDaemonServesPeersUntilCallersLeave guards against a daemon that withdraws its
+// healthy upstream from the other daemons for its whole stop. In rolling restarts of 45 of 87
+// VMs, five at once, stops took 4.2 to 4.6 s, so that 13 to 16 upstreams were missing at any
+// time and the least urgent calls were refused. The test stops the daemon that owns the only
+// upstream.
+func TestStoppingDaemonServesPeersUntilCallersLeave(t *testing.T) {
 	is := is.New(t)
-	f := leavingPair(t)
+	f := startLeavingPair(t)
 	is.Equal(f.call(1, "/r0"), outcome.Answered)
 	slow := make(chan outcome.Kind, 1)
 	stopped := make(chan error, 1)
 	began := time.Now()
 	go func() { stopped <- f.agents[0].Shutdown(context.Background()) }()
-	for time.Since(began) < drainOfTest/2 {
+	for time.Since(began) < testDrain/2 {
 		is.Equal(f.call(1, "/r0"), outcome.Answered)
 	}
-	is.True(!f.agents[0].Ready()) // its own callers go elsewhere meanwhile
+	is.True(!f.agents[0].Ready()) // its own callers use other daemons meanwhile
 	go func() { slow <- f.call(1, "/r0/slow") }()
-	is.Equal(<-slow, outcome.Answered) // runs that have begun end
+	is.Equal(<-slow, outcome.Answered) // an attempt that has started finishes
 	is.NoErr(<-stopped)
-	is.True(time.Since(began) < 3*time.Second) // and nothing more is waited for
+	is.True(time.Since(began) < 3*time.Second) // and the stop waits for nothing else
 	is.Equal(f.call(1, "/r0"), outcome.NotRun)
 }
--- a/internal/agent/local.go
+++ b/internal/agent/local.go
@@ -15,58 +15,60 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// Announcement is what an upstream tells the daemon on its VM, again and
-// again as long as it lives.
+// Announcement is the registration that an upstream sends to the daemon on its VM and renews
+// for as long as it runs.
 type Announcement struct {
-	// ID is unique on the VM.
+	// ID identifies the upstream. It is unique on the VM.
 	ID string `json:"id"`
-	// Life differs between two processes that announce the same ID, so that
-	// a restarted upstream is not taken for the one that left. Any text.
+	// Life identifies the incarnation of the upstream: it differs between two processes that
+	// announce the same ID, so that a restarted upstream is not mistaken for the previous one.
+	// It may be any text.
 	Life    string `json:"life"`
 	Service string `json:"service"`
-	// Version is that of its software, any text, or "".
+	// Version is the version of the upstream's software: any text, or "".
 	Version string `json:"version"`
-	// Addr is where the upstream takes calls, as IP:port.
+	// Addr is the address at which the upstream accepts calls, as IP:port.
 	Addr string `json:"addr"`
-	// Slots is how many calls it runs at once.
+	// Slots is the number of calls that the upstream runs concurrently.
 	Slots int `json:"slots"`
-	// Connections bounds the connections to it.
+	// Connections is the maximum number of connections to the upstream.
 	Connections int `json:"connections"`
-	// Process names the upstream's process to itself, if it checks that.
+	// Process is the ID that is sent with calls to the upstream, if it checks that they are
+	// meant for its own process.
 	Process string `json:"-"`
-	// Born is when this life of the upstream began, in Unix milliseconds; zero:
-	// not told. Where it is told, a later one under the same ID is another life.
+	// Born is when this incarnation of the upstream started, in Unix milliseconds, or zero if
+	// unknown. If known, a later value under the same ID is another incarnation.
 	Born int64 `json:"-"`
-	// Draining says that it takes no new work.
+	// Draining is set if the upstream accepts no new calls.
 	Draining bool `json:"-"`
-	// Sequence grows with each announcement of a life; zero: not counted.
+	// Sequence increases with each announcement of an incarnation; zero: not numbered.
 	Sequence uint64 `json:"-"`
 }
 
-// AnnouncementReply tells an upstream how often to announce itself.
+// AnnouncementReply tells an upstream how often to renew its announcement.
 type AnnouncementReply struct {
 	RenewMs int64 `json:"renew_ms"`
 }
 
 const (
-	maxAnnouncement = 4096
-	maxSlots        = 10_000
-	// maxVersion bounds a version, in bytes.
-	maxVersion = 255
-	// renewsPerLapse is how often an upstream renews its announcement within
-	// the time after which it would be gone.
-	renewsPerLapse = 3
+	maxAnnouncementBytes = 4096
+	maxSlots             = 10_000
+	// maxVersionBytes bounds the length of a version.
+	maxVersionBytes = 255
+	// renewalsPerLapse is how many times an upstream renews its announcement within the time
+	// after which the announcement would lapse.
+	renewalsPerLapse = 3
 )
 
 func (n Announcement) validate() error {
 	host, _, err := net.SplitHostPort(n.Addr)
 	switch {
 	case !config.ValidName(n.ID):
-		return errors.Errorf("id %q: lower-case letters, digits, dots and dashes, at most 63", n.ID)
+		return errors.Errorf("id %q must be at most 63 lower-case letters, digits, dots and dashes", n.ID)
 	case !config.ValidName(n.Service):
-		return errors.Errorf("service %q: lower-case letters, digits, dots and dashes, at most 63", n.Service)
-	case len(n.Version) > maxVersion:
-		return errors.Errorf("version: at most %d bytes", maxVersion)
+		return errors.Errorf("service %q must be at most 63 lower-case letters, digits, dots and dashes", n.Service)
+	case len(n.Version) > maxVersionBytes:
+		return errors.Errorf("version must have at most %d bytes", maxVersionBytes)
 	case err != nil || net.ParseIP(host) == nil:
 		return errors.Errorf("addr %q must be IP:port", n.Addr)
 	case n.Slots < 1 || n.Slots > maxSlots:
@@ -77,11 +79,12 @@
 	return nil
 }
 
-// upstreamName makes what an upstream calls itself unique over all VMs.
+// upstreamName prefixes an upstream's ID with the VM, which makes it unique over all VMs.
 func (a *Agent) upstreamName(id string) string { return a.settings.VM + "/" + id }
 
-// lifeID names one life of an upstream, where it tells its lives apart.
-func lifeID(name string, born int64) string {
+// incarnationID returns the ID of one incarnation of an upstream. It is the plain name if the
+// upstream does not report its start time.
+func incarnationID(name string, born int64) string {
 	if born == 0 {
 		return name
 	}
@@ -98,7 +101,7 @@
 
 func (a *Agent) serveAnnounce(w http.ResponseWriter, r *http.Request) {
 	var n Announcement
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncement))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
 	dec.DisallowUnknownFields()
 	err := dec.Decode(&n)
 	if err == nil {
@@ -110,35 +113,34 @@
 	}
 	a.Announce(n)
 	w.Header().Set("Content-Type", "application/json")
-	renew := time.Duration(a.settings.Control.UpstreamLapse) / renewsPerLapse
-	// If the upstream has gone it will not read the answer.
+	renew := time.Duration(a.settings.Control.UpstreamLapse) / renewalsPerLapse
+	// An error can be ignored: an upstream that has disconnected does not need the answer.
 	_ = json.NewEncoder(w).Encode(AnnouncementReply{RenewMs: renew.Milliseconds()})
 }
 
-// Announce takes an upstream's announcement. The upstream is in the view when
-// it returns.
+// Announce registers an upstream or renews its registration. When it returns, the upstream is
+// in the view in force.
 func (a *Agent) Announce(n Announcement) {
 	name := a.upstreamName(n.ID)
 	a.input(system.Announced{Local: table.Local{
-		Upstream: wire.Upstream{ID: lifeID(name, n.Born), Service: n.Service, Version: n.Version, Slots: n.Slots, Draining: n.Draining},
+		Upstream: wire.Upstream{ID: incarnationID(name, n.Born), Service: n.Service, Version: n.Version, Slots: n.Slots, Draining: n.Draining},
 		Name:     name, Life: n.Life, Born: n.Born, Addr: n.Addr, Conns: n.Connections, Process: n.Process, Sequence: n.Sequence,
 	}})
-	a.Inspect(nothing)
+	a.Inspect(noop)
 }
 
-// Withdraw takes an upstream's word that it leaves. It gets no new work once
-// this returns.
+// Withdraw deregisters an upstream. When it returns, the upstream gets no new calls.
 func (a *Agent) Withdraw(id string) {
 	a.input(system.Withdrawn{ID: a.upstreamName(id)})
-	a.Inspect(nothing)
+	a.Inspect(noop)
 }
 
-// Remove takes an upstream's word that it is about to end. It gets no new
-// work once this returns, and no late announcement brings it back. Born is when the
-// life that ends began; zero: the one that is there.
+// Remove deregisters an upstream whose process is about to exit. When it returns, the upstream
+// gets no new calls, and a delayed announcement does not register it again. Born is the start
+// of the incarnation that exits; zero: the registered one.
 func (a *Agent) Remove(id string, born int64) {
 	a.input(system.Removed{Name: a.upstreamName(id), Born: born})
-	a.Inspect(nothing)
+	a.Inspect(noop)
 }
 
 func (a *Agent) serveWithdraw(w http.ResponseWriter, r *http.Request) {
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -19,61 +19,60 @@
 )
 
 const (
-	// tickEvery is the longest time between ticks. Inputs bring the next one
-	// forward.
-	tickEvery = 200 * time.Millisecond
-	// batchMax bounds the inputs of one tick.
-	batchMax = 512
-	// readWait is how long a read waits at the log for a new record. Together
-	// with the log's timeout it bounds how long a reader can hang on a
-	// connection that has gone silent. The longer, the fewer reads by those
-	// who poll while they know nobody: at 2 s a start of 120 daemons that
-	// took 12 s beside other work caused 614.
-	readWait = 5 * time.Second
-	// readRetry is the pause after a read that failed.
-	readRetry = 500 * time.Millisecond
-	// publishRetry is the mean pause before addresses are left on the store
-	// again after a failure; half to one and a half of it, so that daemons
-	// do not return together.
-	publishRetry = time.Second
-	// seedsMax bounds the addresses taken from the log, the newest first.
-	seedsMax = 64
+	// maxTickInterval is the longest time between ticks. An input triggers a tick at once.
+	maxTickInterval = 200 * time.Millisecond
+	// maxBatch bounds the inputs of one tick.
+	maxBatch = 512
+	// logReadWait is how long a read waits at the log for a new record (long polling). Together
+	// with the log's timeout it bounds how long a reader can block on a connection that has
+	// stalled. A longer wait means fewer reads by daemons that poll while they have no peers: at
+	// 2 s, a start of 120 daemons that took 12 s on a busy machine caused 614 reads.
+	logReadWait = 5 * time.Second
+	// readRetryDelay is the delay after a failed read.
+	readRetryDelay = 500 * time.Millisecond
+	// publishRetryDelay is the mean delay before a failed publication of this daemon's address
+	// is retried. The delay is drawn from 0.5 to 1.5 times this value, so that daemons do not
+	// retry at the same time.
+	publishRetryDelay = time.Second
+	// maxSeeds bounds the peer addresses used from the log. The newest are used.
+	maxSeeds = 64
 )
 
-// inspect runs a function between ticks.
-type inspect struct {
+// inspection is an input that runs a function between ticks.
+type inspection struct {
 	run  func(*table.World)
 	done chan struct{}
 }
 
-// Inspect calls run with the tables while no tick runs. It must not keep
-// references to them. False: the daemon has stopped.
+// Inspect calls run with the entity tables between two ticks, after the inputs that were
+// queued before have been applied. Run must not keep references to the tables. Inspect returns
+// false if the daemon has stopped.
 func (a *Agent) Inspect(run func(*table.World)) bool {
-	in := inspect{run: run, done: make(chan struct{})}
+	in := inspection{run: run, done: make(chan struct{})}
 	a.input(in)
 	select {
 	case <-in.done:
 		return true
-	case <-a.stop.Done():
+	case <-a.ctx.Done():
 		return false
 	}
 }
 
-// nothing is inspected only to wait until the inputs so far are in force.
-func nothing(*table.World) {}
+// noop is passed to Inspect to wait until the inputs queued so far have been applied.
+func noop(*table.World) {}
 
-// loop runs the ticks. It alone touches the tables.
+// loop runs the ticks. Only this goroutine accesses the entity tables.
 func (a *Agent) loop() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		var batch []system.Input
-		var inspections []inspect
+		var inspections []inspection
 		select {
 		case in := <-a.inputs:
-			batch, inspections = a.drain(in)
+			batch, inspections = a.collectInputs(in)
 		case <-timer.C:
-		case <-a.stop.Done():
+		case <-a.ctx.Done():
 			return
 		}
 		a.tick(batch)
@@ -81,15 +80,16 @@
 			i.run(a.world)
 			close(i.done)
 		}
-		timer.Reset(a.untilNext())
+		timer.Reset(a.untilNextTick())
 	}
 }
 
-// drain returns the inputs that wait now. Inspections are run after the tick,
-// so that they see what was put in before them.
-func (a *Agent) drain(first system.Input) (batch []system.Input, inspections []inspect) {
-	for in, more := first, true; more && len(batch) < batchMax; {
-		if i, ok := in.(inspect); ok {
+// collectInputs returns the inputs that are queued now, up to maxBatch. Inspections are
+// returned separately: they run after the tick, so that they see the effect of the inputs
+// queued before them.
+func (a *Agent) collectInputs(first system.Input) (batch []system.Input, inspections []inspection) {
+	for in, more := first, true; more && len(batch) < maxBatch; {
+		if i, ok := in.(inspection); ok {
 			inspections = append(inspections, i)
 		} else {
 			batch = append(batch, in)
@@ -103,9 +103,9 @@
 	return batch, inspections
 }
 
-// untilNext returns the time to the next tick if nothing arrives.
-func (a *Agent) untilNext() time.Duration {
-	next := tickEvery
+// untilNextTick returns the time until the next tick if no input arrives.
+func (a *Agent) untilNextTick() time.Duration {
+	next := maxTickInterval
 	for _, due := range []time.Time{a.world.Outgoing.Due, a.pushDue(), a.viewDue()} {
 		if !due.IsZero() {
 			next = min(next, max(0, time.Until(due)))
@@ -139,8 +139,8 @@
 	}
 	a.configMetrics.update(a.world)
 	for _, e := range out.Events {
-		a.configMetrics.count(e)
-		a.note(e)
+		a.configMetrics.countEvent(e)
+		a.recordEvent(e)
 	}
 	for _, s := range out.Sends {
 		a.transport.Send(s)
@@ -151,14 +151,15 @@
 	for _, d := range out.Dials {
 		a.transport.Dial(d)
 	}
-	a.commands.settle(a.world.Config.State)
-	a.useLog(out)
-	a.useQuarantine(out)
-	a.useRollouts(out)
+	a.commands.update(a.world.Config.State)
+	a.handleLogRequests(out)
+	a.handleQuarantineRequests(out)
+	a.handleRolloutRequests(out)
 }
 
-// note keeps an event and logs the ones an operator should see.
-func (a *Agent) note(e event.Event) {
+// recordEvent adds an event to the ring and logs it. Events that an operator should see are
+// logged above the debug level.
+func (a *Agent) recordEvent(e event.Event) {
 	a.events.Add(e)
 	level := a.logger.Debug()
 	switch e.Kind {
@@ -174,13 +175,13 @@
 		Uint64("version", e.Version).Str("request", e.Request).Msg(e.Detail)
 }
 
-// useLog does what a tick wants of the platform's log, in the background.
-func (a *Agent) useLog(out system.Outbox) {
+// handleLogRequests starts the log operations that a tick requested, in the background.
+func (a *Agent) handleLogRequests(out system.Outbox) {
 	if out.ReadLog && a.source != nil {
-		if a.reading.CompareAndSwap(false, true) {
+		if a.readingConfig.CompareAndSwap(false, true) {
 			go a.readDocument(out.ReadWait)
 		}
-	} else if out.ReadLog && !time.Now().Before(out.ReadAfter) && a.reading.CompareAndSwap(false, true) {
+	} else if out.ReadLog && !time.Now().Before(out.ReadAfter) && a.readingConfig.CompareAndSwap(false, true) {
 		go a.readLog(out.ReadFrom)
 	}
 	if out.Append != nil {
@@ -196,22 +197,23 @@
 
 func (a *Agent) readLog(from uint64) {
 	asked := boottime.Now()
-	batch, err := a.log.Read(a.stop, store.Query{Topic: store.ConfigTopic, From: from, Wait: readWait})
+	batch, err := a.log.Read(a.ctx, store.Query{Topic: store.ConfigTopic, From: from, Wait: logReadWait})
 	if err != nil {
-		sleep(a.stop, readRetry)
+		sleep(a.ctx, readRetryDelay)
 	}
-	a.reading.Store(false)
+	a.readingConfig.Store(false)
 	a.input(system.LogRead{From: from, Batch: batch, Err: err, Asked: asked})
 }
 
-// readDocument waits for a document later than the last one read.
+// readDocument reads the next document from the source, waiting up to wait for one later than
+// the last one read.
 func (a *Agent) readDocument(wait time.Duration) {
 	asked := boottime.Now()
-	doc, orders, err := a.source.Next(a.stop, wait)
+	doc, orders, err := a.source.Next(a.ctx, wait)
 	if err != nil {
-		sleep(a.stop, readRetry)
+		sleep(a.ctx, readRetryDelay)
 	}
-	a.reading.Store(false)
+	a.readingConfig.Store(false)
 	if len(orders) > 0 {
 		a.input(system.Ordered{Orders: orders})
 	}
@@ -219,16 +221,16 @@
 }
 
 func (a *Agent) appendLog(topic string, data []byte) {
-	// use has logged a failure; the tick that wanted the record asks again.
-	_ = a.use("append", func(ctx context.Context) error {
+	// callStore has logged an error. A later tick requests the append again.
+	_ = a.callStore("append", func(ctx context.Context) error {
 		_, err := a.log.Append(ctx, topic, data)
 		return err
 	})
 }
 
-// use makes one call to the store and logs its failure.
-func (a *Agent) use(step string, call func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(a.stop, time.Duration(a.settings.Log.Timeout))
+// callStore makes one call to the store, bounded by the store's timeout, and logs an error.
+func (a *Agent) callStore(step string, call func(context.Context) error) error {
+	ctx, cancel := context.WithTimeout(a.ctx, time.Duration(a.settings.Log.Timeout))
 	defer cancel()
 	err := call(ctx)
 	if err != nil {
@@ -237,59 +239,59 @@
 	return err
 }
 
-// address is a record of the members topic.
-type address struct {
+// memberRecord is a record of the members topic: the address at which a daemon accepts peers.
+type memberRecord struct {
 	Peer string `json:"peer"`
 }
 
 func (a *Agent) publishSelf() {
-	data, err := json.Marshal(address{Peer: a.self.Peer})
+	data, err := json.Marshal(memberRecord{Peer: a.self.Peer})
 	if err != nil {
-		a.logger.Error().Str("step", "publish addresses").Err(err).Msg("not published")
+		a.logger.Error().Str("step", "publish addresses").Err(err).Msg("daemon address could not be encoded; not published")
 		return
 	}
-	for a.stop.Err() == nil {
-		err := a.use("publish addresses", func(ctx context.Context) error {
+	for a.ctx.Err() == nil {
+		err := a.callStore("publish addresses", func(ctx context.Context) error {
 			return a.log.AppendKeyed(ctx, store.MemberTopic, a.settings.VM, data)
 		})
 		if err == nil {
 			return
 		}
-		sleep(a.stop, publishRetry/2+rand.N(publishRetry))
+		sleep(a.ctx, publishRetryDelay/2+rand.N(publishRetryDelay))
 	}
 }
 
-// findSeeds looks on the log for daemons that have left their addresses.
+// findSeeds reads the addresses that daemons have published on the log.
 func (a *Agent) findSeeds() {
 	var newest store.Newest
-	err := a.use("find daemons", func(ctx context.Context) (err error) {
+	err := a.callStore("find daemons", func(ctx context.Context) (err error) {
 		newest, err = a.log.Newest(ctx, store.MemberTopic)
 		return err
 	})
 	if err != nil {
 		return
 	}
-	a.input(system.SelfListed{Listed: a.listed(newest.Entries), Others: len(newest.Entries)})
-	if addrs := addresses(newest.Entries, a.logger); len(addrs) > 0 {
+	a.input(system.SelfListed{Listed: a.selfListed(newest.Entries), Others: len(newest.Entries)})
+	if addrs := newestAddresses(newest.Entries, a.logger); len(addrs) > 0 {
 		a.input(system.SeedsFound{Addrs: addrs})
 	}
 }
 
-// listed reports whether this daemon's record is among the entries.
-func (a *Agent) listed(entries []store.Entry) bool {
+// selfListed reports whether the entries contain this daemon's record with its current address.
+func (a *Agent) selfListed(entries []store.Entry) bool {
 	return slices.ContainsFunc(entries, func(e store.Entry) bool {
-		var rec address
+		var rec memberRecord
 		return e.Key == a.settings.VM && json.Unmarshal(e.Data, &rec) == nil && rec.Peer == a.self.Peer
 	})
 }
 
-// addresses returns the addresses that daemons have left, the newest first.
-func addresses(entries []store.Entry, logger zerolog.Logger) []string {
+// newestAddresses returns the newestAddresses that daemons have left, the newest first.
+func newestAddresses(entries []store.Entry, logger zerolog.Logger) []string {
 	slices.SortFunc(entries, func(x, y store.Entry) int { return cmp.Compare(y.Offset, x.Offset) })
-	addrs := known(entries, logger, "find daemons", "addresses", func(e store.Entry) (string, bool) {
-		var rec address
+	addrs := decodeRecords(entries, logger, "find daemons", "addresses", func(e store.Entry) (string, bool) {
+		var rec memberRecord
 		err := json.Unmarshal(e.Data, &rec)
 		return rec.Peer, err == nil && rec.Peer != ""
 	})
-	return addrs[:min(len(addrs), seedsMax)]
+	return addrs[:min(len(addrs), maxSeeds)]
 }
--- a/internal/agent/quarantine.go
+++ b/internal/agent/quarantine.go
@@ -14,71 +14,74 @@
 )
 
 const (
-	// quarantineWait is how long a read waits at the store for a quarantined request.
-	// News come from other daemons; only one that is cut off from all of them waits
-	// for the store, which wakes it at once.
-	quarantineWait = 10 * time.Second
-	// quarantineRetry is the pause after a read that failed: the reads of the
-	// configuration tell soon enough that the store is back.
-	quarantineRetry = 2 * time.Second
+	// quarantineReadWait is how long a read waits at the store for a quarantined request (long
+	// polling). Daemons learn of quarantined requests from their peers; only a daemon that is
+	// partitioned from all of them depends on the store, which answers a waiting read as soon as
+	// a record is added.
+	quarantineReadWait = 10 * time.Second
+	// quarantineRetryDelay is the delay after a failed read. It can be longer than
+	// readRetryDelay: the reads of the configuration detect soon enough that the store is
+	// reachable again.
+	quarantineRetryDelay = 2 * time.Second
 )
 
-// quarantineReader reads the store's records of quarantined requests. Only one goroutine
-// at a time may use it.
+// quarantineReader reads the store's records of quarantined requests. It is not safe for
+// concurrent use.
 type quarantineReader struct {
-	topic  *store.Follower
-	logger zerolog.Logger
+	follower *store.Follower
+	logger   zerolog.Logger
 }
 
 // next returns what the store holds: the first time all, then what is added, as soon as
 // it is or after quarantineWait.
 func (q *quarantineReader) next(ctx context.Context) system.QuarantineRead {
-	entries, whole, err := q.topic.Next(ctx, quarantineWait)
+	entries, whole, err := q.follower.Next(ctx, quarantineReadWait)
 	if err != nil {
 		return system.QuarantineRead{Err: err}
 	}
 	return system.QuarantineRead{Records: q.decode(entries), Whole: whole}
 }
 
-// decode returns the records of entries. One without a value was dropped.
+// decode returns the records of entries. An entry without a value is a record that was deleted.
 func (q *quarantineReader) decode(entries []store.Entry) []suspect.Record {
 	entries = slices.DeleteFunc(slices.Clone(entries), func(e store.Entry) bool { return len(e.Data) == 0 })
-	return known(entries, q.logger, "read quarantine", "quarantined requests", func(e store.Entry) (r suspect.Record, ok bool) {
+	return decodeRecords(entries, q.logger, "read quarantine", "quarantined requests", func(e store.Entry) (r suspect.Record, ok bool) {
 		err := json.Unmarshal(e.Data, &r)
 		return r, err == nil && r.Valid() && r.Digest.String() == e.Key
 	})
 }
 
 func (a *Agent) readQuarantine() {
-	r := a.quarantine.next(a.stop)
+	r := a.quarantine.next(a.ctx)
 	if r.Err != nil {
-		sleep(a.stop, quarantineRetry)
+		sleep(a.ctx, quarantineRetryDelay)
 	}
 	a.readingQuarantine.Store(false)
 	a.input(r)
 }
 
-// keepQuarantine leaves a record on the store. The tick that wanted it asks again if it
-// is not read back.
-func (a *Agent) keepQuarantine(r suspect.Record) {
+// storeQuarantine writes a record to the store. If it is not read back, a later tick requests
+// the write again.
+func (a *Agent) storeQuarantine(r suspect.Record) {
 	data, err := json.Marshal(r)
 	if err != nil {
-		a.logger.Error().Str("step", "keep quarantine").Err(err).Msg("not kept")
+		a.logger.Error().Str("step", "keep quarantine").Err(err).Msg("quarantine record could not be encoded; not stored")
 		return
 	}
 	a.writeQuarantine(r.Digest, data)
 }
 
-// writeQuarantine writes the record of a request; without data it is dropped.
+// writeQuarantine writes the record of a request to the store. Empty data deletes the record.
 func (a *Agent) writeQuarantine(d suspect.Digest, data []byte) {
-	// use has logged a failure.
-	_ = a.use("keep quarantine", func(ctx context.Context) error {
+	// callStore has logged an error.
+	_ = a.callStore("keep quarantine", func(ctx context.Context) error {
 		return a.log.AppendKeyed(ctx, store.QuarantineTopic, d.String(), data)
 	})
 }
 
-// useQuarantine does what a tick wants of the store's records.
-func (a *Agent) useQuarantine(out system.Outbox) {
+// handleQuarantineRequests performs what a tick requested for quarantined requests: reads and
+// writes of the store's records, and the check whether the owner can clear a new one.
+func (a *Agent) handleQuarantineRequests(out system.Outbox) {
 	if out.ReadQuarantine && a.readingQuarantine.CompareAndSwap(false, true) {
 		go a.readQuarantine()
 	}
@@ -86,31 +89,32 @@
 		a.owner.Vouch(r)
 	}
 	for _, r := range out.KeepQuarantine {
-		go a.keepQuarantine(r)
+		go a.storeQuarantine(r)
 	}
 	for _, d := range out.DropQuarantine {
 		go a.writeQuarantine(d, nil)
 	}
 }
 
-// watchSuspects lets a tick follow each change that the call path makes.
+// watchSuspects triggers a tick after each change that the call path makes to the table of
+// suspects.
 func (a *Agent) watchSuspects() {
 	for {
 		select {
 		case <-a.suspects.Changed():
 			a.input(system.Suspected{})
-		case <-a.stop.Done():
+		case <-a.ctx.Done():
 			return
 		}
 	}
 }
 
-// ClearSuspect lets a request run again, here at once and everywhere else as soon as it is
-// told. It reports whether it was suspected.
+// ClearSuspect clears a suspect, so that the request may run again: on this daemon at once, on
+// the others as soon as the change reaches them. It reports whether the request was a suspect.
 func (a *Agent) ClearSuspect(d suspect.Digest) bool {
 	cleared := a.suspects.Vouch(d)
 	if cleared {
-		a.logger.Info().Str("step", "clear suspect").Stringer("digest", d).Msg("cleared by an operator")
+		a.logger.Info().Str("step", "clear suspect").Stringer("digest", d).Msg("suspect cleared by an operator; the request may run again")
 	}
 	return cleared
 }
--- a/internal/agent/records.go
+++ b/internal/agent/records.go
@@ -6,17 +6,18 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// known returns what read makes of the entries of a topic. What another writer left is
-// none of these; it is left out and counted in one line, and the others hold.
-func known[T any](entries []store.Entry, logger zerolog.Logger, step, none string, read func(store.Entry) (T, bool)) []T {
+// decodeRecords returns the records that decode accepts among the entries of a topic. Entries
+// that are not valid, such as those of another writer, are skipped and counted in one log line;
+// the others are used.
+func decodeRecords[T any](entries []store.Entry, logger zerolog.Logger, step, what string, decode func(store.Entry) (T, bool)) []T {
 	var list []T
 	for _, e := range entries {
-		if item, ok := read(e); ok {
+		if item, ok := decode(e); ok {
 			list = append(list, item)
 		}
 	}
-	if foreign := len(entries) - len(list); foreign > 0 {
-		logger.Warn().Str("step", step).Int("records", foreign).Msg("no " + none + ", left out")
+	if skipped := len(entries) - len(list); skipped > 0 {
+		logger.Warn().Str("step", step).Int("records", skipped).Msg("records on the store are not valid " + what + "; skipped")
 	}
 	return list
 }
--- a/internal/agent/rollout.go
+++ b/internal/agent/rollout.go
@@ -12,80 +12,82 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// Teller lets operators read how far roll-outs have come, where they ordered them.
+// Teller publishes the status of rollouts where operators order them.
 type Teller interface {
-	// Tell puts what current returns where operators read of the service, unless it is
-	// there already. It asks once it is certain that nothing that was told later than
-	// that is written over.
+	// Tell publishes the record that current returns as the status of the service's rollout,
+	// unless that status is published already. It calls current only once it is certain that
+	// the write cannot overwrite a status published after that call.
 	Tell(ctx context.Context, service string, current func(context.Context) (rollout.Record, error)) error
 }
 
-// rolloutRetry is the pause after a call for roll-outs that failed.
-const rolloutRetry = 500 * time.Millisecond
+// rolloutRetryDelay is the delay after a failed read of the rollout records.
+const rolloutRetryDelay = 500 * time.Millisecond
 
-// useRollouts does what a tick wants of the store's records of roll-outs.
-func (a *Agent) useRollouts(out system.Outbox) {
+// handleRolloutRequests starts the operations on the store's rollout records that a tick
+// requested, in the background.
+func (a *Agent) handleRolloutRequests(out system.Outbox) {
 	if out.ReadRollouts && a.readingRollouts.CompareAndSwap(false, true) {
 		go a.readRollouts()
 	}
 	for _, r := range out.AgreeRollouts {
-		go a.agreeRollout(r)
+		go a.proposeRollout(r)
 	}
 	for _, r := range out.TellRollouts {
-		go a.tellRollout(r)
+		go a.publishRolloutStatus(r)
 	}
 }
 
 func (a *Agent) readRollouts() {
 	var read system.RolloutsRead
-	read.Err = a.use("read roll-outs", func(ctx context.Context) error {
+	read.Err = a.callStore("read roll-outs", func(ctx context.Context) error {
 		n, err := a.log.Newest(ctx, store.RolloutTopic)
 		read.Records = a.decodeRollouts(n.Entries)
 		return err
 	})
 	if read.Err != nil {
-		sleep(a.stop, rolloutRetry)
+		sleep(a.ctx, rolloutRetryDelay)
 	}
 	a.readingRollouts.Store(false)
 	a.input(read)
 }
 
 func (a *Agent) decodeRollouts(entries []store.Entry) []rollout.Record {
-	return known(entries, a.logger, "read roll-outs", "roll-outs", func(e store.Entry) (r rollout.Record, ok bool) {
+	return decodeRecords(entries, a.logger, "read roll-outs", "roll-outs", func(e store.Entry) (r rollout.Record, ok bool) {
 		err := json.Unmarshal(e.Data, &r)
 		return r, err == nil && r.Check() == nil && r.Service == e.Key
 	})
 }
 
-// agreeRollout leaves a record on the store if it follows the one there and nobody writes
-// meanwhile. Whatever is there then is followed; where nothing is known, as after a lost
-// answer, the tick asks again.
-func (a *Agent) agreeRollout(r rollout.Record) {
-	// advance has logged a failure.
-	_ = a.advance(r.Service, func(last rollout.Record, _ uint64) (rollout.Record, error) {
+// proposeRollout writes a record to the store if it follows the stored one and no other daemon
+// writes to the topic meanwhile. The daemon then adopts the stored record, whichever it is. If
+// the result is unknown, as after a lost answer, a later tick requests the write again.
+func (a *Agent) proposeRollout(r rollout.Record) {
+	// callStore has logged errors of the store.
+	_ = a.updateRollout(r.Service, func(last rollout.Record, _ uint64) (rollout.Record, error) {
 		if !r.Follows(last) {
-			return last, errOvertaken
+			return last, errSuperseded
 		}
 		return r, nil
 	})
 }
 
-// errOvertaken says that others have gone on with a roll-out.
-var errOvertaken = errors.New("others have gone on")
+// errSuperseded means that another daemon has already advanced the rollout.
+var errSuperseded = errors.New("rollout record is superseded by the stored one")
 
-// advance puts what next makes of a service's last record in its place on the store, if
-// nobody writes meanwhile. The tick learns what is there then.
-func (a *Agent) advance(service string, next func(last rollout.Record, end uint64) (rollout.Record, error)) error {
+// updateRollout replaces a service's rollout record on the store by the one that next derives
+// from it, if nothing is written to the topic between the read and the write (compare and
+// swap). The records that are stored then, or the error, become an input.
+func (a *Agent) updateRollout(service string, next func(last rollout.Record, end uint64) (rollout.Record, error)) error {
 	var read system.RolloutsRead
 	var refusal error
-	read.Err = a.use("agree on a roll-out", func(ctx context.Context) error {
+	read.Err = a.callStore("agree on a roll-out", func(ctx context.Context) error {
 		n, err := a.log.Newest(ctx, store.RolloutTopic)
 		if err != nil {
 			return err
 		}
 		read.Records = a.decodeRollouts(n.Entries)
 		var r rollout.Record
-		if r, refusal = next(lastRollout(read.Records, service), n.End); refusal != nil {
+		if r, refusal = next(findRollout(read.Records, service), n.End); refusal != nil {
 			return nil
 		}
 		data, err := json.Marshal(r)
@@ -104,8 +106,8 @@
 	return read.Err
 }
 
-// lastRollout returns a service's record among these, or the zero record.
-func lastRollout(records []rollout.Record, service string) rollout.Record {
+// findRollout returns the record of a service, or the zero record if there is none.
+func findRollout(records []rollout.Record, service string) rollout.Record {
 	for _, r := range records {
 		if r.Service == service {
 			return r
@@ -114,16 +116,16 @@
 	return rollout.Record{}
 }
 
-// OrderRollout orders a roll-out. An error that is a RefusedError says that it was not
-// ordered, any other leaves that open.
+// OrderRollout orders a rollout. If it returns a RefusedError, the rollout was not ordered;
+// after any other error that is unknown.
 func (a *Agent) OrderRollout(service, target string, within time.Duration) error {
-	if err := a.mayOrder(); err != nil {
+	if err := a.checkOrdersAllowed(); err != nil {
 		return err
 	}
 	if _, ok := a.Held().Content.Services[service]; !ok {
 		return &RefusedError{Reason: "there is no service " + service}
 	}
-	return a.advance(service, func(last rollout.Record, end uint64) (rollout.Record, error) {
+	return a.updateRollout(service, func(last rollout.Record, end uint64) (rollout.Record, error) {
 		order := rollout.Order{ID: max(last.ID, end) + 1, Service: service, Target: target, Duration: within}
 		if err := order.Check(); err != nil {
 			return last, &RefusedError{Reason: err.Error()}
@@ -132,41 +134,41 @@
 	})
 }
 
-// AbortRollout reverts a roll-out that goes on.
+// AbortRollout reverts a rollout in progress.
 func (a *Agent) AbortRollout(service string) error {
-	if err := a.mayOrder(); err != nil {
+	if err := a.checkOrdersAllowed(); err != nil {
 		return err
 	}
-	return a.advance(service, func(last rollout.Record, _ uint64) (rollout.Record, error) {
+	return a.updateRollout(service, func(last rollout.Record, _ uint64) (rollout.Record, error) {
 		if last.ID == 0 || last.Phase.Final() {
-			return last, &RefusedError{Reason: "no roll-out of " + service + " goes on"}
+			return last, &RefusedError{Reason: "no rollout of " + service + " is in progress"}
 		}
 		return last.To(rollout.Reverted, "aborted by an operator"), nil
 	})
 }
 
-// RefusedError says that an operator's wish was not followed and changed nothing.
+// RefusedError means that an operator's request was refused and changed nothing.
 type RefusedError struct{ Reason string }
 
 // Error returns the reason.
 func (e *RefusedError) Error() string { return e.Reason }
 
-// mayOrder refuses where orders come from elsewhere.
-func (a *Agent) mayOrder() error {
+// checkOrdersAllowed returns a RefusedError if rollouts are ordered through the DocumentSource.
+func (a *Agent) checkOrdersAllowed() error {
 	if a.source != nil {
-		return &RefusedError{Reason: "roll-outs are ordered where the configuration comes from"}
+		return &RefusedError{Reason: "rollouts cannot be ordered here: order them where the configuration is managed"}
 	}
 	return nil
 }
 
-// tellRollout lets operators read the phase that the store holds.
-func (a *Agent) tellRollout(r rollout.Record) {
-	err := a.use("tell of a roll-out", func(ctx context.Context) error {
-		if a.teller == nil {
+// publishRolloutStatus publishes the phase of the stored rollout record for operators.
+func (a *Agent) publishRolloutStatus(r rollout.Record) {
+	err := a.callStore("tell of a roll-out", func(ctx context.Context) error {
+		if a.rolloutStatus == nil {
 			return nil
 		}
-		return a.teller.Tell(ctx, r.Service, func(ctx context.Context) (_ rollout.Record, err error) {
-			r, err = a.heldRollout(ctx, r)
+		return a.rolloutStatus.Tell(ctx, r.Service, func(ctx context.Context) (_ rollout.Record, err error) {
+			r, err = a.storedRollout(ctx, r)
 			return r, err
 		})
 	})
@@ -175,15 +177,15 @@
 	}
 }
 
-// heldRollout returns the store's record of the roll-out's service.
-func (a *Agent) heldRollout(ctx context.Context, r rollout.Record) (rollout.Record, error) {
+// storedRollout returns the rollout record that the store holds for the service of r.
+func (a *Agent) storedRollout(ctx context.Context, r rollout.Record) (rollout.Record, error) {
 	n, err := a.log.Newest(ctx, store.RolloutTopic)
 	if err != nil {
 		return r, err
 	}
-	held := lastRollout(a.decodeRollouts(n.Entries), r.Service)
-	if held.ID == 0 {
-		return r, errors.Errorf("the store holds no roll-out of %s", r.Service)
+	stored := findRollout(a.decodeRollouts(n.Entries), r.Service)
+	if stored.ID == 0 {
+		return r, errors.Errorf("the store has no rollout record of %s", r.Service)
 	}
-	return held, nil
+	return stored, nil
 }
--- a/internal/agent/rollout_test.go
+++ b/internal/agent/rollout_test.go
@@ -24,43 +24,43 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// rolloutDocument is the configuration of the tests below.
+// rolloutDocument is the configuration used by the rollout tests.
 const rolloutDocument = `{"version":7,"services":[{"name":"tickets","max_connections":50}],
 "limits":{"max_header_bytes":16384,"max_body_bytes":1048576,"header_timeout_ms":3000,"idle_timeout_ms":15000},
 "virtual_hosts":[{"host":"tickets.example","paths":[{"name":"lookup","path_prefix":"/lookup/","kind":"safe",
 "timeout_ms":2000,"target_latency_ms":300,"priority":1,"service":"tickets","max_attempts":2}]}]}`
 
-// software is one version of the upstreams beside all daemons.
-type software struct {
+// upstreamVersion is the set of upstreams that run one software version, one per daemon.
+type upstreamVersion struct {
 	servers []*httptest.Server
 	runs    atomic.Int64
-	// fails is the part of the answers that fail, in percent.
-	fails atomic.Int64
-	// stopped counts the calls that came after stop.
-	stopped atomic.Bool
-	late    atomic.Int64
+	// failPercent is the percentage of calls that fail.
+	failPercent atomic.Int64
+	// stopped is set once the upstreams have stopped; callsAfterStop counts later calls.
+	stopped        atomic.Bool
+	callsAfterStop atomic.Int64
 }
 
-func (s *software) serve(w http.ResponseWriter, _ *http.Request) {
+func (s *upstreamVersion) serve(w http.ResponseWriter, _ *http.Request) {
 	if s.stopped.Load() {
-		s.late.Add(1)
+		s.callsAfterStop.Add(1)
 		http.Error(w, "stopped", http.StatusInternalServerError)
 		return
 	}
 	s.runs.Add(1)
 	time.Sleep(2 * time.Millisecond)
-	if rand.Int64N(100) < s.fails.Load() {
+	if rand.Int64N(100) < s.failPercent.Load() {
 		http.Error(w, "bad", http.StatusInternalServerError)
 	}
 }
 
-// rolloutFleet is a fleet whose daemons read the platform's store, each beside an upstream
-// of either version.
+// rolloutFleet is a fleet of daemons that read configuration and rollout orders from the
+// platform's store. Each has one upstream of either version on its VM.
 type rolloutFleet struct {
 	t        *testing.T
 	log      *devlog.Log
 	agents   []*agent.Agent
-	versions map[string]*software
+	versions map[string]*upstreamVersion
 	failed   atomic.Int64
 	calls    atomic.Int64
 	stop     chan struct{}
@@ -68,7 +68,7 @@
 }
 
 func startRolloutFleet(t *testing.T, n int) *rolloutFleet {
-	f := &rolloutFleet{t: t, log: devlog.New(), versions: map[string]*software{"v1": {}, "v2": {}}, stop: make(chan struct{})}
+	f := &rolloutFleet{t: t, log: devlog.New(), versions: map[string]*upstreamVersion{"v1": {}, "v2": {}}, stop: make(chan struct{})}
 	if err := f.log.AppendKeyed(context.Background(), "keyed.op", "config", []byte(rolloutDocument)); err != nil {
 		t.Fatal(err)
 	}
@@ -83,9 +83,9 @@
 	for _, a := range f.agents {
 		f.await("ready", func() bool { return a.Ready() && f.upstreams(a) == n })
 	}
-	time.Sleep(time.Second) // what appears from now on is new
+	time.Sleep(time.Second) // versions that appear from now on count as new
 	for i := range f.agents {
-		f.running.Go(func() { f.call(i) })
+		f.running.Go(func() { f.sendCalls(i) })
 	}
 	return f
 }
@@ -133,13 +133,13 @@
 	f.t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("%s: not so in time", what)
+			f.t.Fatalf("timed out waiting for condition: %s", what)
 		}
 	}
 }
 
-// call sends calls to a daemon, one every 5 ms.
-func (f *rolloutFleet) call(i int) {
+// sendCalls sends calls to daemon i, one every 5 ms.
+func (f *rolloutFleet) sendCalls(i int) {
 	url := "http://" + f.agents[i].Addresses().Callers + "/lookup/1"
 	for {
 		select {
@@ -163,7 +163,8 @@
 	}
 }
 
-// rollOut orders version v2 within the time and returns what operators read in the end.
+// rollOut orders a rollout of version v2 with the given duration and returns the final status
+// that operators read.
 func (f *rolloutFleet) rollOut(within time.Duration) string {
 	order := fmt.Sprintf(`{"service":"tickets","target_version":"v2","duration_s":%g}`, within.Seconds())
 	if err := f.log.AppendKeyed(context.Background(), "keyed.op", "rollout/tickets", []byte(order)); err != nil {
@@ -204,40 +205,42 @@
 	}
 }
 
-// rolloutTime is how long the roll-outs below may take.
-const rolloutTime = 6 * time.Second
+// rolloutDuration is how long the rollouts of the tests may take.
+const rolloutDuration = 6 * time.Second
 
-// TestGoodVersionTakesOver lets the old upstreams stop as soon as operators read that the
-// roll-out is completed: no call reaches them later, and no caller notices.
-func TestGoodVersionTakesOver(t *testing.T) {
+// TestRolloutOfHealthyVersionCompletes stops the old upstreams as soon as the published status
+// says that the rollout is completed. It guards against calls that still reach an old upstream
+// after that, and against calls that fail during the rollout.
+func TestRolloutOfHealthyVersionCompletes(t *testing.T) {
 	is := is.New(t)
 	f := startRolloutFleet(t, 6)
 	began := time.Now()
-	is.Equal(f.rollOut(rolloutTime), `{"state":"completed","target_version":"v2"}`)
+	is.Equal(f.rollOut(rolloutDuration), `{"state":"completed","target_version":"v2"}`)
 	took := time.Since(began)
 	f.versions["v1"].stopped.Store(true)
 	time.Sleep(time.Second)
 	t.Logf("completed after %v; %d calls, %d failed; %d ran on v1, %d on v2", took, f.calls.Load(), f.failed.Load(),
 		f.versions["v1"].runs.Load(), f.versions["v2"].runs.Load())
-	is.True(took <= rolloutTime)
-	is.Equal(f.versions["v1"].late.Load(), int64(0))
+	is.True(took <= rolloutDuration)
+	is.Equal(f.versions["v1"].callsAfterStop.Load(), int64(0))
 	is.Equal(f.failed.Load(), int64(0))
 	newest, err := f.log.Newest(context.Background(), store.RolloutTopic)
 	is.NoErr(err)
-	is.Equal(newest.End, uint64(3)) // trying, moving, completed
+	is.Equal(newest.End, uint64(3)) // phases trying, moving and completed
 }
 
-// TestBadVersionIsRolledBack lets half of the new version's answers fail.
-func TestBadVersionIsRolledBack(t *testing.T) {
+// TestRolloutOfFailingVersionIsRolledBack lets half of the calls to the new version fail. It
+// guards against a rollout that continues or exposes more than a tenth of the calls to it.
+func TestRolloutOfFailingVersionIsRolledBack(t *testing.T) {
 	is := is.New(t)
 	f := startRolloutFleet(t, 6)
-	f.versions["v2"].fails.Store(50)
+	f.versions["v2"].failPercent.Store(50)
 	before := f.calls.Load()
-	is.Equal(f.rollOut(rolloutTime), `{"state":"rolled_back","target_version":"v2"}`)
+	is.Equal(f.rollOut(rolloutDuration), `{"state":"rolled_back","target_version":"v2"}`)
 	exposed := f.versions["v2"].runs.Load()
 	time.Sleep(500 * time.Millisecond)
 	calls := f.calls.Load() - before
 	t.Logf("%d of %d calls went to the bad version; %d callers got a failure", exposed, calls, f.failed.Load())
-	is.Equal(f.versions["v2"].runs.Load(), exposed) // none later
+	is.Equal(f.versions["v2"].runs.Load(), exposed) // no calls after the rollback
 	is.True(exposed <= calls/10+50)
 }
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -9,111 +9,113 @@
 	"github.com/comfreygate/comfreygate/internal/system"
 )
 
-// Shutdown stops the daemon gracefully, within bounds.stop: callers are sent
-// elsewhere, then other daemons, runs end, and everything is closed. When ctx ends
-// first, what is left is cut.
+// Shutdown stops the daemon gracefully within bounds.stop. It first turns callers away, then
+// announces the stop to the other daemons and accepts no new attempts, lets running attempts
+// finish, and closes everything. When ctx ends first, whatever is left is aborted.
 func (a *Agent) Shutdown(ctx context.Context) error {
 	began := time.Now()
 	plan := planStop(time.Duration(a.settings.Bounds.Stop), time.Duration(a.settings.Calls.Drain))
-	a.logger.Info().Str("step", "drain").Dur("end_ms", plan.end).Msg("stopping")
-	a.leaving.Store(true)
+	a.logger.Info().Str("step", "drain").Dur("end_ms", plan.closeAt).Msg("daemon is stopping gracefully")
+	a.stopping.Store(true)
 	a.ready.Store(false)
 	a.ingress.Leave()
-	finish := time.AfterFunc(plan.finish, a.ingress.Finish)
-	defer finish.Stop()
-	sleep(ctx, plan.callers)
+	cancelRuns := time.AfterFunc(plan.runsUntil, a.ingress.Finish)
+	defer cancelRuns.Stop()
+	sleep(ctx, plan.callersUntil)
 	a.ingress.Refuse()
-	a.awaitCallers(ctx, began.Add(plan.others))
-	a.leave(ctx)
-	a.await(ctx, began.Add(plan.finish), a.idle)
-	ctx, cancel := context.WithDeadline(ctx, began.Add(plan.end))
+	a.awaitCallers(ctx, began.Add(plan.peersUntil))
+	a.announceLeave(ctx)
+	a.await(ctx, began.Add(plan.runsUntil), a.idle)
+	ctx, cancel := context.WithDeadline(ctx, began.Add(plan.closeAt))
 	defer cancel()
 	err := a.closeServers(ctx)
 	a.Kill()
 	return err
 }
 
-// stopPlan says how long after the signal each step of a stop ends at the latest.
+// stopPlan holds the latest time at which each step of a stop ends, as time since its start.
 type stopPlan struct {
-	// callers is how long callers' calls are taken.
-	callers time.Duration
-	// others is how long other daemons' calls for the upstreams here are.
-	others time.Duration
-	// finish is how long runs are left alone.
-	finish time.Duration
-	// end is when the process closes everything.
-	end time.Duration
+	// callersUntil is how long new calls of callers are accepted.
+	callersUntil time.Duration
+	// peersUntil is how long attempts from other daemons are accepted for the upstreams here.
+	peersUntil time.Duration
+	// runsUntil is how long running attempts may continue. The rest is then cancelled.
+	runsUntil time.Duration
+	// closeAt is when all connections are closed.
+	closeAt time.Duration
 }
 
-// The parts of the time that a process has for its stop. What is left at the end
-// covers the exit itself on a VM that is short of processor time.
+// The steps of a stop as fractions of bounds.stop. The remaining time covers the exit of the
+// process on a VM with little CPU time.
 const (
-	// callersPart bounds calls.drain where little time is given.
-	callersPart = 0.4
-	// othersPart leaves runs as much time to end as upstreams were given work for:
-	// with 6 s, 2.1 s for runs that take up to 0.8 s; with 10 s, 3.5 s for runs that
-	// take up to 4.4 s.
-	othersPart = 0.5
-	// finishPart is past five sixths of the time: until then whoever stops a process
-	// counts on runs being waited for.
-	finishPart = 0.85
-	// endPart leaves 0.4 s of 6 s for last answers: time to ask an owner whether a
-	// call has run, and to say so.
-	endPart = 0.92
+	// callersFraction bounds calls.drain if bounds.stop is short.
+	callersFraction = 0.4
+	// peersFraction splits the time between accepting attempts and letting them finish: of 6 s
+	// it leaves 2.1 s, for attempts that run up to 0.8 s; of 10 s it leaves 3.5 s, for attempts
+	// that run up to 4.4 s.
+	peersFraction = 0.5
+	// runsFraction is above 5/6: whoever stops the process relies on running attempts being
+	// waited for until then.
+	runsFraction = 0.85
+	// closeFraction leaves 0.4 s of 6 s, after running attempts are cancelled, for the last
+	// answers: time to ask an owner whether a call has run and to answer the caller.
+	closeFraction = 0.92
 )
 
-// planStop divides the time that a process has for its stop. Callers are to be
-// served for as long as they take to notice that a daemon leaves.
-func planStop(total, callers time.Duration) stopPlan {
-	part := func(p float64) time.Duration { return time.Duration(p * float64(total)) }
+// planStop divides the total time for a stop into its steps. Callers are served for
+// callerDrain, the time they need to notice that a daemon is stopping, if there is enough time.
+func planStop(total, callerDrain time.Duration) stopPlan {
+	part := func(fraction float64) time.Duration { return time.Duration(fraction * float64(total)) }
 	return stopPlan{
-		callers: min(callers, part(callersPart)), others: part(othersPart),
-		finish: part(finishPart), end: part(endPart),
+		callersUntil: min(callerDrain, part(callersFraction)), peersUntil: part(peersFraction),
+		runsUntil: part(runsFraction), closeAt: part(closeFraction),
 	}
 }
 
 const (
-	// lastCallerIdle is how long no call has come when callers are taken to
-	// be gone: a tenth of what they take to notice that a daemon leaves.
-	lastCallerIdle = 300 * time.Millisecond
-	// stopPoll is the interval at which a stop looks whether a step is done.
-	stopPoll = 20 * time.Millisecond
+	// callerIdlePeriod is the time without calls after which all callers are assumed to have
+	// moved to other daemons: a tenth of the time they need to notice that a daemon is stopping.
+	callerIdlePeriod = 300 * time.Millisecond
+	// stopPollInterval is the interval at which a stop checks whether a step is done.
+	stopPollInterval = 20 * time.Millisecond
 )
 
-// awaitCallers waits while callers still come or have calls here: some are not told
-// that this daemon leaves, or have nowhere else to go. They are refused as not run,
-// which tells them when to come back; a closed listener would not. The upstreams here
-// serve other daemons meanwhile, as ever.
+// awaitCallers waits until no calls arrive or are in progress here, at most until the given
+// time. Some callers are not told that this daemon is stopping, or have no other daemon to
+// use. Their calls are refused as not run with a time to retry after, which a closed listener
+// could not send. The upstreams here keep serving other daemons meanwhile.
 func (a *Agent) awaitCallers(ctx context.Context, until time.Time) {
-	a.await(ctx, until, func() bool { return a.ingress.Quiet() > lastCallerIdle })
+	a.await(ctx, until, func() bool { return a.ingress.Quiet() > callerIdlePeriod })
 }
 
-// leave tells other daemons that this one stops, and admits nothing more to the
-// upstreams here. It returns once most daemons have heard of it.
-func (a *Agent) leave(ctx context.Context) {
+// announceLeave announces to the other daemons that this one is stopping, and admits no new
+// attempts to the upstreams here. It returns after the time in which most daemons learn of it.
+func (a *Agent) announceLeave(ctx context.Context) {
 	a.input(system.Leave{})
-	a.Inspect(nothing)
-	sleep(ctx, leaveWindows*time.Duration(a.settings.Control.Window))
+	a.Inspect(noop)
+	sleep(ctx, leaveGossipWindows*time.Duration(a.settings.Control.Window))
 }
 
-// leaveWindows is how many windows of gossip the word that a daemon leaves is given:
-// from a leaf over its root to the leaves of another failure domain.
-const leaveWindows = 4
+// leaveGossipWindows is how many gossip windows the announcement is given to spread: enough
+// from a leaf of the distribution tree through its root to the leaves of another failure
+// domain.
+const leaveGossipWindows = 4
 
-// idle reports whether nothing runs here or is carried from here.
+// idle reports whether no attempt runs or waits at the upstreams here and no call that entered
+// here is in progress.
 func (a *Agent) idle() bool { return a.owner.InFlight() == 0 && a.ingress.InFlight() == 0 }
 
-// await waits until the condition holds, until then or the end of ctx.
+// await waits until the condition holds, the given time has come, or ctx ends.
 func (a *Agent) await(ctx context.Context, until time.Time, holds func() bool) {
 	for time.Now().Before(until) && ctx.Err() == nil && !holds() {
-		sleep(ctx, stopPoll)
+		sleep(ctx, stopPollInterval)
 	}
 }
 
-// closeServers closes the listeners and waits for what they still serve.
+// closeServers closes the listeners and waits for the requests that are still being served.
 func (a *Agent) closeServers(ctx context.Context) error {
 	if err := a.listeners.callers.drain(); err != nil {
-		a.logger.Warn().Str("step", "drain").Str("peer", a.Addresses().Callers).Err(err).Msg("connections being opened may be cut")
+		a.logger.Warn().Str("step", "drain").Str("peer", a.Addresses().Callers).Err(err).Msg("callers' listener could not be drained; connections not yet accepted may be reset")
 	}
 	var failed error
 	for _, srv := range a.servers {
@@ -125,18 +127,18 @@
 	return failed
 }
 
-// Kill stops the daemon at once. Further calls do nothing.
-func (a *Agent) Kill() { a.killed.Do(a.kill) }
+// Kill stops the daemon immediately. Further calls do nothing.
+func (a *Agent) Kill() { a.killOnce.Do(a.kill) }
 
 func (a *Agent) kill() {
-	a.end()
+	a.cancel()
 	a.ingress.Close()
 	a.owner.Close()
 	for _, srv := range a.servers {
 		srv.Close()
 	}
 	a.transport.Shutdown()
-	a.running.Wait()
+	a.goroutines.Wait()
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/agent/stop_test.go
+++ b/internal/agent/stop_test.go
@@ -8,31 +8,32 @@
 	"pgregory.net/rapid"
 )
 
-// TestStopFollowsTheTimeGiven: with 10 s for a stop, runs of up to 4.4 s that begin 1 s
-// after the signal were ended after 4.2 s, as if it had 6 s.
-func TestStopFollowsTheTimeGiven(t *testing.T) {
+// TestStopPlanScalesWithBound guards against a stop whose steps do not scale with bounds.stop:
+// with a bound of 10 s, attempts of up to 4.4 s that started 1 s after the signal were
+// cancelled after 4.2 s, as if the bound were 6 s.
+func TestStopPlanScalesWithBound(t *testing.T) {
 	is := is.New(t)
 	const callers = 2500 * time.Millisecond
 	six, ten := planStop(6*time.Second, callers), planStop(10*time.Second, callers)
-	is.Equal(six, stopPlan{callers: 2400 * time.Millisecond, others: 3 * time.Second, finish: 5100 * time.Millisecond, end: 5520 * time.Millisecond})
-	is.Equal(ten, stopPlan{callers: callers, others: 5 * time.Second, finish: 8500 * time.Millisecond, end: 9200 * time.Millisecond})
+	is.Equal(six, stopPlan{callersUntil: 2400 * time.Millisecond, peersUntil: 3 * time.Second, runsUntil: 5100 * time.Millisecond, closeAt: 5520 * time.Millisecond})
+	is.Equal(ten, stopPlan{callersUntil: callers, peersUntil: 5 * time.Second, runsUntil: 8500 * time.Millisecond, closeAt: 9200 * time.Millisecond})
 	const began, longest = time.Second, 4400 * time.Millisecond
-	is.True(ten.finish > began+longest)
+	is.True(ten.runsUntil > began+longest)
 }
 
-// TestStopStaysWithinTheTimeGiven demands of any time for a stop that its steps follow
-// each other, that runs are waited for through five sixths of it, and that something is
-// left for the exit itself.
-func TestStopStaysWithinTheTimeGiven(t *testing.T) {
+// TestStopPlanStaysWithinBound checks for any bound that the steps of a stop follow each other,
+// that running attempts are waited for until at least 5/6 of the bound, and that 1/25 of the
+// bound is left for the exit of the process.
+func TestStopPlanStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := time.Duration(rapid.Int64Range(int64(time.Second), int64(time.Hour)).Draw(t, "total"))
 		callers := time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "callers"))
 		p := planStop(total, callers)
-		if p.callers > p.others || p.others >= p.finish || p.finish >= p.end || p.end > total*24/25 {
-			t.Fatalf("%v of %v", p, total)
+		if p.callersUntil > p.peersUntil || p.peersUntil >= p.runsUntil || p.runsUntil >= p.closeAt || p.closeAt > total*24/25 {
+			t.Fatalf("stop plan %v: want ordered steps that end within 24/25 of %v", p, total)
 		}
-		if p.finish < total*5/6 {
-			t.Fatalf("runs are left alone for %v of %v", p.finish, total)
+		if p.runsUntil < total*5/6 {
+			t.Fatalf("running attempts are cancelled after %v: want at least 5/6 of %v", p.runsUntil, total)
 		}
 	})
 }
--- a/internal/agent/storm_test.go
+++ b/internal/agent/storm_test.go
@@ -7,19 +7,19 @@
 	"github.com/comfreygate/comfreygate/internal/table"
 )
 
-// stormSize is how many daemons return together.
-const stormSize = 120
+// restartedDaemons is the number of daemons that restart simultaneously.
+const restartedDaemons = 120
 
-// changesBefore is more than the records that daemons keep for each other, so
-// that those who return need snapshots.
-const changesBefore = 1200
+// changesBeforeRestart is larger than the history of records that daemons keep for their peers,
+// so that restarted daemons need snapshots.
+const changesBeforeRestart = 1200
 
-// TestStorm kills and starts 120 daemons at once. All must have the version
-// in force again, while the reads at the log and the work of each daemon stay
-// bounded.
-func TestStorm(t *testing.T) {
-	f := startFleet(t, stormSize, nil)
-	version := f.publishMany(changesBefore)
+// TestSimultaneousRestart kills and restarts 120 daemons at once. It guards against a load
+// spike on the log: all daemons must have the version in force again in time, while reads of
+// and appends to the log stay bounded.
+func TestSimultaneousRestart(t *testing.T) {
+	f := startFleet(t, restartedDaemons, nil)
+	version := f.publishMany(changesBeforeRestart)
 	f.converged(version)
 	before := f.log.Counts()
 	began := time.Now()
@@ -34,17 +34,17 @@
 	snapshots, most := f.counters("control.sent.snapshot")
 	busy, _ := f.counters("control.sent.busy")
 	_, bytes := f.counters("control.bytes_out")
-	t.Logf("in force everywhere after %v, everybody known after %v; log: %d reads, %d appends; snapshots %d (at most %d by one), refusals %d; at most %d hellos and %d bytes sent by one daemon",
+	t.Logf("in force on all daemons after %v, all members known after %v; log: %d reads, %d appends; snapshots %d (at most %d by one daemon), refusals %d; at most %d hellos and %d bytes sent by one daemon",
 		inForce.Round(time.Millisecond), known.Round(time.Millisecond), reads, appends, snapshots, most, busy, links, bytes)
 	if inForce > 15*time.Second {
-		t.Errorf("in force only after %v", inForce)
+		t.Errorf("version in force on all daemons after %v, want at most 15s", inForce)
 	}
-	// Two roots in each of seven domains poll; the others read not at all, or
-	// once while they look for a parent.
-	if reads > 5*stormSize {
-		t.Errorf("%d reads at the log", reads)
+	// Only the two roots of each of the seven failure domains poll. The others do not read the
+	// log, or read it once while they look for a parent.
+	if reads > 5*restartedDaemons {
+		t.Errorf("%d reads of the log, want at most 5 per daemon", reads)
 	}
-	if appends > 3*stormSize {
-		t.Errorf("%d appends to the log", appends)
+	if appends > 3*restartedDaemons {
+		t.Errorf("%d appends to the log, want at most 3 per daemon", appends)
 	}
 }
--- a/internal/agent/suspects_test.go
+++ b/internal/agent/suspects_test.go
@@ -9,15 +9,15 @@
 	"github.com/comfreygate/comfreygate/internal/table"
 )
 
-// TestSuspectsAreToldWithinMilliseconds lets one daemon of 93 in seven failure domains see
-// ends under 16 requests, over real sockets, and measures when the last one knows. Copies
-// that come meanwhile end an upstream each: a request that was seen came every 125 ms and
-// ran for 50 ms.
-func TestSuspectsAreToldWithinMilliseconds(t *testing.T) {
+// TestSuspectsReachAllDaemonsWithinMilliseconds records crashes under 16 requests on one of 93
+// daemons in seven failure domains, connected over real sockets, and measures when the last
+// daemon learns of these suspects. Each copy of a poison request that arrives before then
+// crashes another upstream; an observed one arrived every 125 ms and ran for 50 ms.
+func TestSuspectsReachAllDaemonsWithinMilliseconds(t *testing.T) {
 	const fleetSize, rounds, within = 93, 5, 50 * time.Millisecond
 	f := startFleet(t, fleetSize, nil)
 	f.converged(f.publish(0))
-	time.Sleep(8 * time.Second) // until connections of the start are gone
+	time.Sleep(8 * time.Second) // until connections that were only used at the start are closed
 	sent, _ := f.counters("control.sent_bytes.suspects")
 	var took []time.Duration
 	for round := range rounds {
@@ -29,7 +29,7 @@
 			}
 		})
 		last := (first + 15).String()
-		time.Sleep(500 * time.Millisecond) // asking them whether they know would slow them down
+		time.Sleep(500 * time.Millisecond) // polling the daemons would slow them down
 		for _, a := range f.agents {
 			for _, e := range a.Events().List() {
 				if e.Kind == event.Suspected && e.Request == last {
@@ -39,12 +39,12 @@
 		}
 	}
 	if len(took) != rounds*fleetSize {
-		t.Fatalf("%d daemons were told, want %d", len(took), rounds*fleetSize)
+		t.Fatalf("%d daemons learned of the suspects, want %d", len(took), rounds*fleetSize)
 	}
 	after, _ := f.counters("control.sent_bytes.suspects")
-	t.Logf("told after %.1f ms in the middle, %.1f ms the last; %d bytes a daemon and end before compression",
+	t.Logf("suspects known after %.1f ms (median), %.1f ms (last daemon); %d bytes per daemon and crash before compression",
 		quantile(took, 0.5), quantile(took, 1), (after-sent)/rounds/fleetSize)
 	if last := quantile(took, 1); last > float64(within.Milliseconds()) {
-		t.Errorf("the last daemon was told after %.1f ms", last)
+		t.Errorf("the last daemon learned of the suspects after %.1f ms, want at most 50 ms", last)
 	}
 }
