--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -244,6 +244,7 @@
 	a.logger.Info().Interface("listen", a.Addresses()).Msg("listening")
 }
 
+// spawn runs f in a goroutine that Kill waits for.
 func (a *Agent) spawn(f func()) {
 	a.goroutines.Add(1)
 	go func() {
@@ -268,7 +269,7 @@
 	a.servers = append(a.servers, srv)
 	a.spawn(func() {
 		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			a.logger.Error().Str("step", "serve").Str("peer", ln.Addr().String()).Err(err).Msg("listener failed")
+			a.logger.Error().Str("step", "serve").Str("peer", ln.Addr().String()).Err(err).Msg("serving on the listener failed; it accepts no more connections")
 		}
 	})
 }
@@ -294,7 +295,7 @@
 // refuses calls which the ingress already routes by the new view.
 func (a *Agent) install(v *view.View) {
 	if err := v.Consistent(); err != nil {
-		a.logger.Error().Str("step", "view").Err(err).Msg("inconsistent view not put in force")
+		a.logger.Error().Str("step", "view").Err(err).Msg("new view is inconsistent; the previous one stays in force")
 		a.events.Add(event.Event{Kind: event.Alarm, Version: v.Version, Detail: err.Error()})
 		return
 	}
--- a/internal/agent/local.go
+++ b/internal/agent/local.go
@@ -64,9 +64,9 @@
 	host, _, err := net.SplitHostPort(n.Addr)
 	switch {
 	case !config.ValidName(n.ID):
-		return errors.Errorf("id %q must be at most 63 lower-case letters, digits, dots and dashes", n.ID)
+		return errors.Errorf("id %q must have 1 to 63 lower-case letters, digits, dots, underscores and dashes, and begin and end with a letter or digit", n.ID)
 	case !config.ValidName(n.Service):
-		return errors.Errorf("service %q must be at most 63 lower-case letters, digits, dots and dashes", n.Service)
+		return errors.Errorf("service %q must have 1 to 63 lower-case letters, digits, dots, underscores and dashes, and begin and end with a letter or digit", n.Service)
 	case len(n.Version) > maxVersionBytes:
 		return errors.Errorf("version must have at most %d bytes", maxVersionBytes)
 	case err != nil || net.ParseIP(host) == nil:
@@ -118,8 +118,8 @@
 	_ = json.NewEncoder(w).Encode(AnnouncementReply{RenewMs: renew.Milliseconds()})
 }
 
-// Announce registers an upstream or renews its registration. When it returns, the upstream is
-// in the view in force.
+// Announce registers an upstream or renews its registration. When it returns, the view in
+// force contains the upstream.
 func (a *Agent) Announce(n Announcement) {
 	name := a.upstreamName(n.ID)
 	a.input(system.Announced{Local: table.Local{
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -285,7 +285,8 @@
 	})
 }
 
-// newestAddresses returns the newestAddresses that daemons have left, the newest first.
+// newestAddresses returns the addresses that daemons have published, the newest first, up to
+// maxSeeds.
 func newestAddresses(entries []store.Entry, logger zerolog.Logger) []string {
 	slices.SortFunc(entries, func(x, y store.Entry) int { return cmp.Compare(y.Offset, x.Offset) })
 	addrs := decodeRecords(entries, logger, "find daemons", "addresses", func(e store.Entry) (string, bool) {
--- a/internal/agent/quarantine.go
+++ b/internal/agent/quarantine.go
@@ -32,8 +32,8 @@
 	logger   zerolog.Logger
 }
 
-// next returns what the store holds: the first time all, then what is added, as soon as
-// it is or after quarantineWait.
+// next returns all records on the first call, and on later calls the records added since, as
+// soon as there are any or after quarantineReadWait.
 func (q *quarantineReader) next(ctx context.Context) system.QuarantineRead {
 	entries, whole, err := q.follower.Next(ctx, quarantineReadWait)
 	if err != nil {
--- a/internal/agent/rollout.go
+++ b/internal/agent/rollout.go
@@ -118,7 +118,7 @@
 
 // OrderRollout orders a rollout. If it returns a RefusedError, the rollout was not ordered;
 // after any other error that is unknown.
-func (a *Agent) OrderRollout(service, target string, within time.Duration) error {
+func (a *Agent) OrderRollout(service, target string, duration time.Duration) error {
 	if err := a.checkOrdersAllowed(); err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 		return &RefusedError{Reason: "there is no service " + service}
 	}
 	return a.updateRollout(service, func(last rollout.Record, end uint64) (rollout.Record, error) {
-		order := rollout.Order{ID: max(last.ID, end) + 1, Service: service, Target: target, Duration: within}
+		order := rollout.Order{ID: max(last.ID, end) + 1, Service: service, Target: target, Duration: duration}
 		if err := order.Check(); err != nil {
 			return last, &RefusedError{Reason: err.Error()}
 		}
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -9,9 +9,10 @@
 	"github.com/comfreygate/comfreygate/internal/system"
 )
 
-// Shutdown stops the daemon gracefully within bounds.stop. It first turns callers away, then
-// announces the stop to the other daemons and accepts no new attempts, lets running attempts
-// finish, and closes everything. When ctx ends first, whatever is left is aborted.
+// Shutdown stops the daemon gracefully within bounds.stop. It makes callers move to other
+// daemons, then announces the stop to the other daemons and admits no new attempts, lets
+// running attempts finish, and closes everything. If ctx ends first, whatever is left is
+// aborted.
 func (a *Agent) Shutdown(ctx context.Context) error {
 	began := time.Now()
 	plan := planStop(time.Duration(a.settings.Bounds.Stop), time.Duration(a.settings.Calls.Drain))
