--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -59,13 +59,13 @@
 		}
 		delete(t.waiters, id)
 	}
-	kept := t.unknown[:0]
+	stillUnknown := t.unknown[:0]
 	for _, u := range t.unknown {
 		if _, ok := s.Outcome(u.ID); !ok {
-			kept = append(kept, u)
+			stillUnknown = append(stillUnknown, u)
 		}
 	}
-	t.unknown = kept
+	t.unknown = stillUnknown
 }
 
 // subscribe returns a channel that is closed when the command has an outcome.
--- a/internal/agent/rollout.go
+++ b/internal/agent/rollout.go
@@ -76,7 +76,7 @@
 
 // updateRollout replaces a service's rollout record on the store by the one that next derives
 // from it, if nothing is written to the topic between the read and the write (compare and
-// swap). The records that are stored then, or the error, become an input.
+// swap). Afterwards the stored records, or the error, are queued as an input.
 func (a *Agent) updateRollout(service string, next func(last rollout.Record, end uint64) (rollout.Record, error)) error {
 	var read system.RolloutsRead
 	var refusal error
--- a/internal/agent/storm_test.go
+++ b/internal/agent/storm_test.go
@@ -30,12 +30,12 @@
 	known := time.Since(began)
 	after := f.log.Counts()
 	reads, appends := after.Reads-before.Reads, after.Appends-before.Appends
-	_, links := f.counters("control.sent.hello")
-	snapshots, most := f.counters("control.sent.snapshot")
+	_, maxHellos := f.counters("control.sent.hello")
+	snapshots, maxSnapshots := f.counters("control.sent.snapshot")
 	busy, _ := f.counters("control.sent.busy")
 	_, bytes := f.counters("control.bytes_out")
 	t.Logf("in force on all daemons after %v, all members known after %v; log: %d reads, %d appends; snapshots %d (at most %d by one daemon), refusals %d; at most %d hellos and %d bytes sent by one daemon",
-		inForce.Round(time.Millisecond), known.Round(time.Millisecond), reads, appends, snapshots, most, busy, links, bytes)
+		inForce.Round(time.Millisecond), known.Round(time.Millisecond), reads, appends, snapshots, maxSnapshots, busy, maxHellos, bytes)
 	if inForce > 15*time.Second {
 		t.Errorf("version in force on all daemons after %v, want at most 15s", inForce)
 	}
