--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -7,53 +7,52 @@
 	"github.com/pkg/errors"
 )
 
-// ApplyAll returns the state after consecutive records' bytes, the first of
-// which is at this offset. Bytes that are no record change nothing but the
-// position: every daemon reads the same bytes and skips them alike. On an
-// error it returns the state before the record that caused it, and how many
-// records were applied.
+// ApplyAll applies encoded records, the first of which is at this offset, and returns the
+// resulting state and the number of records applied. Bytes that cannot be decoded as a
+// record advance only the position: every daemon reads the same bytes and skips the same
+// ones. On an error it returns the state before the record that caused it.
 func ApplyAll(s *State, offset uint64, records [][]byte) (*State, int, error) {
 	for i, data := range records {
 		rec, err := DecodeRecord(data)
 		if err != nil {
 			rec = Record{Checkpoint: &Checkpoint{}}
 		}
-		next, err := step(s, offset+uint64(i), rec)
+		next, err := applyUnhashed(s, offset+uint64(i), rec)
 		if err != nil {
-			return s.sealed(), i, err
+			return s.withHash(), i, err
 		}
 		s = next
 	}
-	return s.sealed(), len(records), nil
+	return s.withHash(), len(records), nil
 }
 
-// sealed returns the state with its hash. Hashing costs more than a record,
-// so a batch is hashed once.
-func (s *State) sealed() *State {
+// withHash returns the state with its hash computed. Hashing costs more than applying a
+// record, so a batch of records is hashed once.
+func (s *State) withHash() *State {
 	if s.Hash != "" {
 		return s
 	}
 	next := *s
-	next.Hash = next.sum()
+	next.Hash = next.computeHash()
 	return &next
 }
 
-// Apply returns the state after the record at this offset. It is pure and
-// deterministic: every daemon that applies the same log holds the same state.
-// A command that is rejected changes only Position and Outcomes.
+// Apply returns the state after the record at this offset. It is pure and deterministic:
+// every daemon that applies the same log holds the same state. A command that is rejected
+// changes only Position and Outcomes.
 //
-// Errors mean that the record cannot be applied here (a gap, later rules);
-// the state stays as it was and the caller must not skip the record.
+// An error means that the record cannot be applied here (an offset gap, or newer rules).
+// The state is unchanged and the caller must not skip the record.
 func Apply(s *State, offset uint64, rec Record) (*State, error) {
-	next, err := step(s, offset, rec)
+	next, err := applyUnhashed(s, offset, rec)
 	if err != nil {
 		return nil, err
 	}
-	return next.sealed(), nil
+	return next.withHash(), nil
 }
 
-// step is Apply without the hash.
-func step(s *State, offset uint64, rec Record) (*State, error) {
+// applyUnhashed is Apply without computing the hash.
+func applyUnhashed(s *State, offset uint64, rec Record) (*State, error) {
 	if offset != s.Position {
 		return nil, errors.Errorf("apply: record %d does not follow position %d", offset, s.Position)
 	}
@@ -65,21 +64,22 @@
 	next.Hash = ""
 	switch {
 	case rec.Checkpoint != nil:
-		next = *next.passCheckpoint(offset, *rec.Checkpoint)
-	case !s.seen(rec.Command.ID):
-		next.judge(offset, *rec.Command)
+		next = *next.applyCheckpoint(offset, *rec.Checkpoint)
+	case !s.hasOutcome(rec.Command.ID):
+		next.applyCommand(offset, *rec.Command)
 	}
 	return &next, nil
 }
 
-func (s *State) seen(id string) bool {
+func (s *State) hasOutcome(id string) bool {
 	_, ok := s.Outcome(id)
 	return ok
 }
 
-// passCheckpoint returns the state after a checkpoint. An ordinary one is
-// behind the state already; a reseed is adopted unless it would lead back.
-func (s *State) passCheckpoint(offset uint64, c Checkpoint) *State {
+// applyCheckpoint returns the state after a checkpoint. An ordinary checkpoint changes
+// nothing, because the state already includes it. A reseed is adopted unless its version
+// or base is lower than the state's.
+func (s *State) applyCheckpoint(offset uint64, c Checkpoint) *State {
 	if !c.Reseed {
 		return s
 	}
@@ -90,23 +90,22 @@
 	return Reseeded(seed, offset)
 }
 
-// Reseeded returns the state that a replacement log goes on from, when its
-// reseed checkpoint stands at this offset. Base grows by at least one, so
-// that every later version and every comparison of positions is above those
-// of the lost log.
+// Reseeded returns the state from which a replacement log continues, when its reseed
+// checkpoint is at this offset. Base grows by at least one, so that every later version
+// and position compares as greater than those of the lost log.
 func Reseeded(s *State, offset uint64) *State {
 	next := *s
 	next.Base = max(s.Version, s.Base+1)
 	next.Position = offset + 1
-	next.Hash = next.sum()
+	next.Hash = next.computeHash()
 	return &next
 }
 
-// judge accepts or rejects the command and records the outcome.
-func (s *State) judge(offset uint64, cmd Command) {
-	out := Outcome{ID: cmd.ID, Author: cmd.Author, Refs: refNames(cmd.Changes)}
+// applyCommand accepts or rejects the command and records the outcome.
+func (s *State) applyCommand(offset uint64, cmd Command) {
+	out := Outcome{ID: cmd.ID, Author: cmd.Author, Refs: changeNames(cmd.Changes)}
 	version := s.Base + offset + 1
-	content, rej := s.Content.with(cmd, version)
+	content, rej := s.Content.withCommand(cmd, version)
 	if rej != nil {
 		out.Status = Rejected
 		out.Version = s.Version
@@ -117,7 +116,7 @@
 		out.Version = version
 		s.Version = version
 		s.Content = content
-		s.entities = nil
+		s.contentDigest = nil
 	}
 	s.Outcomes = append(slices.Clone(s.Outcomes), out)
 	if len(s.Outcomes) > maxOutcomes {
@@ -125,19 +124,19 @@
 	}
 }
 
-// Check judges a command against a state without applying it: the dry run.
+// Check evaluates a command against a state without applying it (a dry run).
 func Check(s *State, cmd Command) error {
-	_, rej := s.Content.with(cmd, s.Version+1)
+	_, rej := s.Content.withCommand(cmd, s.Version+1)
 	if rej != nil {
 		return rej
 	}
 	return nil
 }
 
-// Rejection says why a command was not accepted.
+// Rejection is the reason why a command was not accepted.
 type Rejection struct {
 	Reason string
-	// BeatenBy is the version that changed an entity first, or 0.
+	// BeatenBy is the version of the conflicting change that was accepted first, or 0.
 	BeatenBy uint64
 }
 
@@ -148,33 +147,33 @@
 	return &Rejection{Reason: errors.Errorf(format, args...).Error()}
 }
 
-// with returns the content after all of the command's changes, or why none of
-// them may happen.
-func (c Content) with(cmd Command, version uint64) (Content, *Rejection) {
+// withCommand returns the content after all of the command's changes. If one of them is
+// not allowed, none is applied and the reason is returned.
+func (c Content) withCommand(cmd Command, version uint64) (Content, *Rejection) {
 	if err := cmd.Validate(); err != nil {
 		return c, rejectf("%v", err)
 	}
-	if rej := c.beaten(cmd); rej != nil {
+	if rej := c.checkConflicts(cmd); rej != nil {
 		return c, rej
 	}
 	next := c.clone()
 	for _, ch := range cmd.Changes {
-		if rej := next.change(ch, version); rej != nil {
+		if rej := next.applyChange(ch, version); rej != nil {
 			return c, rej
 		}
 	}
 	if len(next.Workspaces) > MaxWorkspaces {
 		return c, rejectf("there may be %d workspaces, these are %d", MaxWorkspaces, len(next.Workspaces))
 	}
-	if err := cmp.Or(next.workspacesConsistent(), next.routesConsistent(Content.routeCommandable)); err != nil {
+	if err := cmp.Or(next.checkWorkspaceKeys(), next.checkRoutes(Content.checkCommandRoute)); err != nil {
 		return c, rejectf("%v", err)
 	}
 	return next, nil
 }
 
-// beaten reports whether an entity of the command changed after the version
-// the command was made against.
-func (c Content) beaten(cmd Command) *Rejection {
+// checkConflicts rejects a command if one of its entities changed after the version
+// against which the command was made.
+func (c Content) checkConflicts(cmd Command) *Rejection {
 	if cmd.IfVersion == nil {
 		return nil
 	}
@@ -189,7 +188,7 @@
 	return nil
 }
 
-func (c Content) change(ch Change, version uint64) *Rejection {
+func (c Content) applyChange(ch Change, version uint64) *Rejection {
 	exists := c.has(ch.Ref)
 	switch {
 	case ch.Verb == Publish && exists:
@@ -255,7 +254,7 @@
 	}
 }
 
-func refNames(changes []Change) []string {
+func changeNames(changes []Change) []string {
 	names := make([]string, 0, len(changes))
 	for _, ch := range changes {
 		names = append(names, string(ch.Verb)+" "+ch.Ref.String())
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-func basics() []Change {
+func exampleChanges() []Change {
 	return []Change{
 		{Verb: Publish, Ref: Ref{KindService, "s"}, Service: &Service{Name: "s"}},
 		{Verb: Publish, Ref: Ref{KindPolicy, "p"}, Policy: &Policy{Name: "p", Urgency: Normal, Timeout: time.Second}},
@@ -31,8 +31,8 @@
 	return next
 }
 
-func TestChangeSetIsAcceptedWholeOrNotAtAll(t *testing.T) {
-	base := apply(t, Empty(), "basics", basics()...)
+func TestChangeSetIsAtomic(t *testing.T) {
+	base := apply(t, Empty(), "basics", exampleChanges()...)
 	service := func(name string) Change {
 		return Change{Verb: Publish, Ref: Ref{KindService, name}, Service: &Service{Name: name}}
 	}
@@ -68,8 +68,8 @@
 
 func TestCommandIsIdempotent(t *testing.T) {
 	is := is.New(t)
-	once := apply(t, Empty(), "basics", basics()...)
-	twice := apply(t, once, "basics", basics()...)
+	once := apply(t, Empty(), "basics", exampleChanges()...)
+	twice := apply(t, once, "basics", exampleChanges()...)
 	is.Equal(twice.Version, once.Version)
 	is.True(sameContent(twice, once))
 	is.Equal(len(twice.Outcomes), 1)
@@ -77,10 +77,10 @@
 
 func TestEarlierCommandWins(t *testing.T) {
 	is := is.New(t)
-	s := apply(t, Empty(), "basics", basics()...)
-	made := s.Version
+	s := apply(t, Empty(), "basics", exampleChanges()...)
+	baseVersion := s.Version
 	revise := func(id, path string) Record {
-		return Record{Command: &Command{ID: id, IfVersion: &made, Changes: []Change{{Verb: Revise, Ref: Ref{KindRoute, "r"},
+		return Record{Command: &Command{ID: id, IfVersion: &baseVersion, Changes: []Change{{Verb: Revise, Ref: Ref{KindRoute, "r"},
 			Route: &Route{Name: "r", Path: path, Service: "s", Policy: "p", Callers: []string{"c"}}}}}}
 	}
 	s, err := Apply(s, s.Position, revise("first", "/a"))
@@ -94,7 +94,7 @@
 	is.Equal(s.Content.Routes["r"].Path, "/a")
 }
 
-func TestApplyRefusesGapsAndLaterRules(t *testing.T) {
+func TestApplyRejectsOffsetGapsAndNewerRules(t *testing.T) {
 	is := is.New(t)
 	_, err := Apply(Empty(), 1, Record{Command: &Command{ID: "x"}})
 	is.True(err != nil)
@@ -102,22 +102,22 @@
 	is.True(err != nil)
 }
 
-// TestDamagedStateIsRefused cuts an encoded state at every byte and flips
-// every byte: no part of a state and no other state ever comes out.
-func TestDamagedStateIsRefused(t *testing.T) {
+// TestDamagedStateIsNotDecoded cuts an encoded state at every byte and flips bits of every
+// byte. Decoding must never return a part of the state or a different state.
+func TestDamagedStateIsNotDecoded(t *testing.T) {
 	is := is.New(t)
-	s := apply(t, Empty(), "basics", basics()...)
+	s := apply(t, Empty(), "basics", exampleChanges()...)
 	b, err := s.Encode()
 	is.NoErr(err)
 	for i := range b {
 		if _, err := DecodeState(b[:i]); err == nil {
-			t.Fatalf("cut at byte %d of %d was taken for a state", i, len(b))
+			t.Fatalf("a state cut at byte %d of %d was decoded", i, len(b))
 		}
 		for _, bit := range []byte{0x01, 0x20} {
 			damaged := append([]byte(nil), b...)
 			damaged[i] ^= bit
 			if got, err := DecodeState(damaged); err == nil && got.Hash != s.Hash {
-				t.Fatalf("byte %d damaged: another state was accepted", i)
+				t.Fatalf("byte %d damaged: a different state was decoded", i)
 			}
 		}
 	}
@@ -129,8 +129,9 @@
 	return errA == nil && errB == nil && string(x) == string(y)
 }
 
-// TestApplyIsDeterministicAndConsistent applies generated commands to two
-// states, one of which goes through its encoding at every step.
+// TestApplyIsDeterministicAndConsistent applies generated commands to two states, one of
+// which is encoded and decoded at every step. Both must have the same hash, versions must
+// not decrease, and the content must stay consistent.
 func TestApplyIsDeterministicAndConsistent(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		a, b := Empty(), Empty()
@@ -166,7 +167,7 @@
 				rt.Fatalf("states differ after record %d", i)
 			}
 			if a.Version < before.Version || a.Content.Consistent() != nil {
-				rt.Fatalf("went back or became inconsistent")
+				rt.Fatalf("version decreased or content became inconsistent")
 			}
 		}
 	})
@@ -196,10 +197,11 @@
 	return changes
 }
 
-// TestWorkspacesAreCheckedLikeOtherEntities covers what a change set may not hold.
-func TestWorkspacesAreCheckedLikeOtherEntities(t *testing.T) {
+// TestInvalidWorkspacesAreRejected covers the workspaces that a change set must not
+// contain.
+func TestInvalidWorkspacesAreRejected(t *testing.T) {
 	key := func(text string) []string { return []string{KeyHash(text)} }
-	held := Empty()
+	base := Empty()
 	publish := func(s *State, ws Workspace) (*State, error) {
 		rec := Record{Command: &Command{ID: "c-" + ws.Name, Changes: []Change{{Verb: Put, Ref: Ref{KindWorkspace, ws.Name}, Workspace: &ws}}}}
 		next, err := Apply(s, s.Position, rec)
@@ -211,7 +213,7 @@
 		}
 		return next, nil
 	}
-	held, err := publish(held, Workspace{Name: "a", KeyHashes: key("one"), Rate: 5, Burst: 2})
+	base, err := publish(base, Workspace{Name: "a", KeyHashes: key("one"), Rate: 5, Burst: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -234,17 +236,18 @@
 		{"no keys", Workspace{Name: "b"}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := publish(held, c.ws)
+			_, err := publish(base, c.ws)
 			if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-				t.Errorf("got %v, want a reason with %q", err, c.want)
+				t.Errorf("got error %v, want one that contains %q", err, c.want)
 			}
 		})
 	}
 }
 
-// TestCommandsAreJudgedByTheSameRules guards against daemons of two releases that judge one
-// command differently, or for another reason: both are part of what they compare.
-func TestCommandsAreJudgedByTheSameRules(t *testing.T) {
+// TestRouteRejectionReasonsAreStable guards against daemons of two releases that reject a
+// command for different reasons: reasons are part of the state's hash, which daemons
+// compare.
+func TestRouteRejectionReasonsAreStable(t *testing.T) {
 	policy := Change{Verb: Put, Ref: Ref{KindPolicy, "p"}, Policy: &Policy{Name: "p", Urgency: Normal, Timeout: time.Second}}
 	service := Change{Verb: Put, Ref: Ref{KindService, "a"}, Service: &Service{Name: "a"}}
 	for want, r := range map[string]Route{
--- a/internal/config/delta.go
+++ b/internal/config/delta.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// Delta leads from one content to another by whole entities.
+// Delta is the difference between two contents, as whole entities.
 type Delta struct {
 	Services   map[string]Service   `json:"services,omitempty"`
 	Policies   map[string]Policy    `json:"policies,omitempty"`
@@ -18,37 +18,37 @@
 	Limits     Limits               `json:"limits,omitzero"`
 }
 
-// Diff returns the delta that leads from one content to the other.
+// Diff returns the delta from one content to another.
 func Diff(from, to Content) Delta {
 	d := Delta{
-		Services:   changed(from.Services, to.Services, func(a, b Service) bool { return a == b }),
-		Policies:   changed(from.Policies, to.Policies, Policy.Equal),
-		Callers:    changed(from.Callers, to.Callers, func(a, b Caller) bool { return a == b }),
-		Routes:     changed(from.Routes, to.Routes, Route.Equal),
-		Workspaces: changed(from.Workspaces, to.Workspaces, Workspace.Equal),
+		Services:   changedEntities(from.Services, to.Services, func(a, b Service) bool { return a == b }),
+		Policies:   changedEntities(from.Policies, to.Policies, Policy.Equal),
+		Callers:    changedEntities(from.Callers, to.Callers, func(a, b Caller) bool { return a == b }),
+		Routes:     changedEntities(from.Routes, to.Routes, Route.Equal),
+		Workspaces: changedEntities(from.Workspaces, to.Workspaces, Workspace.Equal),
 		Limits:     to.Limits,
 	}
-	d.Removed = removed(d.Removed, KindService, from.Services, to.Services)
-	d.Removed = removed(d.Removed, KindPolicy, from.Policies, to.Policies)
-	d.Removed = removed(d.Removed, KindCaller, from.Callers, to.Callers)
-	d.Removed = removed(d.Removed, KindRoute, from.Routes, to.Routes)
-	d.Removed = removed(d.Removed, KindWorkspace, from.Workspaces, to.Workspaces)
+	d.Removed = appendRemoved(d.Removed, KindService, from.Services, to.Services)
+	d.Removed = appendRemoved(d.Removed, KindPolicy, from.Policies, to.Policies)
+	d.Removed = appendRemoved(d.Removed, KindCaller, from.Callers, to.Callers)
+	d.Removed = appendRemoved(d.Removed, KindRoute, from.Routes, to.Routes)
+	d.Removed = appendRemoved(d.Removed, KindWorkspace, from.Workspaces, to.Workspaces)
 	return d
 }
 
-// Equal reports whether two policies say the same.
+// Equal reports whether two policies have the same values.
 func (p Policy) Equal(o Policy) bool {
 	return p.Name == o.Name && p.Urgency == o.Urgency && p.Timeout == o.Timeout && p.Objective == o.Objective &&
 		p.Retries == o.Retries && slices.Equal(p.Repeatable, o.Repeatable)
 }
 
-// Equal reports whether two routes say the same.
+// Equal reports whether two routes have the same values.
 func (r Route) Equal(o Route) bool {
 	return r.Name == o.Name && r.Host == o.Host && r.Path == o.Path && r.Service == o.Service && r.Policy == o.Policy &&
 		r.Open == o.Open && r.Public == o.Public && slices.Equal(r.Shares, o.Shares) && slices.Equal(r.Callers, o.Callers)
 }
 
-func changed[E any](from, to map[string]E, equal func(E, E) bool) map[string]E {
+func changedEntities[E any](from, to map[string]E, equal func(E, E) bool) map[string]E {
 	out := map[string]E{}
 	for name, e := range to {
 		if old, ok := from[name]; !ok || !equal(old, e) {
@@ -58,7 +58,7 @@
 	return out
 }
 
-func removed[E any](list []Ref, kind Kind, from, to map[string]E) []Ref {
+func appendRemoved[E any](list []Ref, kind Kind, from, to map[string]E) []Ref {
 	for name := range from {
 		if _, ok := to[name]; !ok {
 			list = append(list, Ref{Kind: kind, Name: name})
@@ -67,15 +67,15 @@
 	return list
 }
 
-// Then returns the delta that leads where d and then next lead.
+// Then returns the delta that has the effect of applying d and then next.
 func (d Delta) Then(next Delta) Delta {
 	out := Delta{
-		Services: merged(d.Services, next.Services), Policies: merged(d.Policies, next.Policies),
-		Callers: merged(d.Callers, next.Callers), Routes: merged(d.Routes, next.Routes),
-		Workspaces: merged(d.Workspaces, next.Workspaces), Limits: next.Limits,
+		Services: mergeEntities(d.Services, next.Services), Policies: mergeEntities(d.Policies, next.Policies),
+		Callers: mergeEntities(d.Callers, next.Callers), Routes: mergeEntities(d.Routes, next.Routes),
+		Workspaces: mergeEntities(d.Workspaces, next.Workspaces), Limits: next.Limits,
 	}
 	for _, ref := range d.Removed {
-		if !next.sets(ref) {
+		if !next.contains(ref) {
 			out.Removed = append(out.Removed, ref)
 		}
 	}
@@ -88,26 +88,26 @@
 	return out
 }
 
-func merged[E any](a, b map[string]E) map[string]E {
+func mergeEntities[E any](a, b map[string]E) map[string]E {
 	out := make(map[string]E, len(a)+len(b))
 	maps.Copy(out, a)
 	maps.Copy(out, b)
 	return out
 }
 
-// content returns the delta's entities. It shares their maps.
+// content returns the delta's entities as a Content that shares the delta's maps.
 func (d Delta) content() Content {
 	return Content{Services: d.Services, Policies: d.Policies, Callers: d.Callers, Routes: d.Routes, Workspaces: d.Workspaces}
 }
 
-func (d Delta) sets(ref Ref) bool { return d.content().has(ref) }
+func (d Delta) contains(ref Ref) bool { return d.content().has(ref) }
 
 func (d Delta) drop(ref Ref) { d.content().remove(ref) }
 
-// After returns the state of this version after the delta. It must come out
-// with the hash declared; else nothing is returned.
+// After returns the state of this version after the delta is applied. It returns an error
+// if the resulting hash differs from the declared one.
 func (s *State) After(d Delta, version uint64, hash string) (*State, error) {
-	next, err := s.replaced(d, version)
+	next, err := s.withDelta(d, version)
 	if err != nil {
 		return nil, errors.Wrap(err, "apply delta")
 	}
@@ -117,36 +117,36 @@
 	return next, nil
 }
 
-// replaced returns the state that holds a document of this version, which
-// differs from the one held by the delta.
-func (s *State) replaced(d Delta, version uint64) (*State, error) {
+// withDelta returns the state for the document of this version, whose content differs from
+// that of s by the delta.
+func (s *State) withDelta(d Delta, version uint64) (*State, error) {
 	if version == 0 {
 		return nil, errors.New("document has no version")
 	}
-	entities := s.entityDigest()
-	next := &State{Version: version, Position: version, Content: s.Content.clone(), entities: &entities}
+	contentDigest := s.digest()
+	next := &State{Version: version, Position: version, Content: s.Content.clone(), contentDigest: &contentDigest}
 	next.Content.Limits = d.Limits
 	for _, ref := range d.Removed {
-		entities.removeEntity(s.Content, ref)
+		contentDigest.removeEntity(s.Content, ref)
 		next.Content.remove(ref)
 	}
-	replaceAll(&entities, KindService, next.Content.Services, d.Services)
-	replaceAll(&entities, KindPolicy, next.Content.Policies, d.Policies)
-	replaceAll(&entities, KindCaller, next.Content.Callers, d.Callers)
-	replaceAll(&entities, KindRoute, next.Content.Routes, d.Routes)
-	replaceAll(&entities, KindWorkspace, next.Content.Workspaces, d.Workspaces)
+	replaceEntities(&contentDigest, KindService, next.Content.Services, d.Services)
+	replaceEntities(&contentDigest, KindPolicy, next.Content.Policies, d.Policies)
+	replaceEntities(&contentDigest, KindCaller, next.Content.Callers, d.Callers)
+	replaceEntities(&contentDigest, KindRoute, next.Content.Routes, d.Routes)
+	replaceEntities(&contentDigest, KindWorkspace, next.Content.Workspaces, d.Workspaces)
 	if err := next.Content.validateDelta(d); err != nil {
 		return nil, err
 	}
-	next.Hash = next.sum()
+	next.Hash = next.computeHash()
 	return next, nil
 }
 
-// named reports whether routes may name the entity.
-func (r Ref) named() bool { return r.Kind != KindRoute && r.Kind != KindWorkspace }
+// referencedByRoutes reports whether routes can refer to an entity of this kind.
+func (r Ref) referencedByRoutes() bool { return r.Kind != KindRoute && r.Kind != KindWorkspace }
 
-// replaceAll puts entities into a table and counts them in its digest.
-func replaceAll[E any](sum *digest, kind Kind, table, entities map[string]E) {
+// replaceEntities puts entities into a table and updates the digest.
+func replaceEntities[E any](sum *digest, kind Kind, table, entities map[string]E) {
 	for name, e := range entities {
 		if old, ok := table[name]; ok {
 			sum.remove(entityDigest(kind, name, old))
@@ -156,8 +156,8 @@
 	}
 }
 
-// validateDelta reports the first thing that makes a content unusable, which
-// came to be by the delta from one that was usable.
+// validateDelta returns the first error that makes the content unusable. The content was
+// valid before the delta was applied, so only what the delta affects is checked.
 func (c Content) validateDelta(d Delta) error {
 	for _, name := range sortedKeys(d.Policies) {
 		if err := d.Policies[name].validate(); err != nil {
@@ -168,20 +168,20 @@
 		return err
 	}
 	for _, name := range sortedKeys(d.Workspaces) {
-		if err := d.Workspaces[name].consistent(); err != nil {
+		if err := d.Workspaces[name].validateFields(); err != nil {
 			return errors.Wrapf(err, "workspace %s", name)
 		}
 	}
 	if len(d.Workspaces) > 0 {
-		if err := c.workspacesConsistent(); err != nil {
+		if err := c.checkWorkspaceKeys(); err != nil {
 			return err
 		}
 	}
-	if slices.ContainsFunc(d.Removed, Ref.named) {
-		return c.routesConsistent(Content.routeConsistent) // any route may have named what is gone
+	if slices.ContainsFunc(d.Removed, Ref.referencedByRoutes) {
+		return c.checkRoutes(Content.checkRoute) // any route may refer to a removed entity
 	}
 	for _, name := range sortedKeys(d.Routes) {
-		if err := c.routeConsistent(d.Routes[name]); err != nil {
+		if err := c.checkRoute(d.Routes[name]); err != nil {
 			return err
 		}
 	}
--- a/internal/config/delta_test.go
+++ b/internal/config/delta_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawContent returns a usable content of a few entities, so that two of them
-// differ by additions, removals and changes.
+// drawContent returns a valid content of a few entities, so that two of them differ by
+// additions, removals and changes.
 func drawContent(t *rapid.T) Content {
 	c := NewContent()
 	for i := range rapid.IntRange(1, 3).Draw(t, "services") {
@@ -38,34 +38,35 @@
 	return c
 }
 
-// TestDeltasLeadWhereDocumentsLead demands that a chain of documents, the
-// differences between them, and one difference over all of the chain give the
-// state that the last document gives alone, hash included.
-func TestDeltasLeadWhereDocumentsLead(t *testing.T) {
+// TestDeltasAndDocumentsGiveTheSameState draws a chain of documents. Following the
+// documents, applying the delta of each step, and applying one delta combined over the
+// whole chain must each give the state that the last document gives by itself, including
+// the hash.
+func TestDeltasAndDocumentsGiveTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		first, err := Document{Version: 1, Content: drawContent(t)}.State()
 		is.NoErr(err)
-		held, whole := first, Delta{}
+		current, combined := first, Delta{}
 		for i := range rapid.IntRange(1, 4).Draw(t, "steps") {
 			doc := Document{Version: uint64(i + 2), Content: drawContent(t)}
-			next, step, err := doc.Follow(held)
+			next, step, err := doc.Follow(current)
 			is.NoErr(err)
-			alone, err := doc.State()
+			direct, err := doc.State()
 			is.NoErr(err)
-			is.Equal(next, alone)
-			passed, err := held.After(step, doc.Version, alone.Hash)
+			is.Equal(next, direct)
+			applied, err := current.After(step, doc.Version, direct.Hash)
 			is.NoErr(err)
-			is.Equal(passed, alone)
+			is.Equal(applied, direct)
 			if i == 0 {
-				whole = step
+				combined = step
 			} else {
-				whole = whole.Then(step)
+				combined = combined.Then(step)
 			}
-			held = next
+			current = next
 		}
-		skipped, err := first.After(whole, held.Version, held.Hash)
+		viaCombined, err := first.After(combined, current.Version, current.Hash)
 		is.NoErr(err)
-		is.Equal(skipped, held)
+		is.Equal(viaCombined, current)
 	})
 }
--- a/internal/config/digest.go
+++ b/internal/config/digest.go
@@ -6,10 +6,10 @@
 	"encoding/json"
 )
 
-// digest identifies a set of entities. It is a sum over the entities, so a
-// change of one costs one hash however many there are: at 1,700 routes a
-// version costs 0.1 ms instead of the 4 ms that hashing them all takes.
-// Damage is what it finds, not forgery: peers are trusted.
+// digest identifies a set of entities. It is the sum of the entities' hashes, so changing
+// one entity costs one hash however many there are: with 1,700 routes a version costs 0.1
+// ms instead of the 4 ms that hashing all of them takes. It detects corruption, not
+// forgery: peers are trusted.
 type digest [2]uint64
 
 // entityDigest returns the digest of one entity.
@@ -35,7 +35,7 @@
 	d[1] -= o[1]
 }
 
-// removeEntity takes an entity of the content out of the digest.
+// removeEntity subtracts an entity of the content from the digest.
 func (d *digest) removeEntity(c Content, ref Ref) {
 	if !c.has(ref) {
 		return
@@ -56,15 +56,15 @@
 	d.remove(entityDigest(ref.Kind, ref.Name, entity))
 }
 
-// entityDigest returns the digest of the state's content.
-func (s *State) entityDigest() digest {
-	if s.entities == nil {
+// digest returns the digest of the state's content.
+func (s *State) digest() digest {
+	if s.contentDigest == nil {
 		return s.Content.digest()
 	}
-	return *s.entities
+	return *s.contentDigest
 }
 
-// kindRevision is the digest's kind of an entity's last version.
+// kindRevision is the kind under which the digest includes an entity's last version.
 const kindRevision Kind = "revision"
 
 // digest returns the digest of all entities and revisions.
--- a/internal/config/normalize_test.go
+++ b/internal/config/normalize_test.go
@@ -11,22 +11,22 @@
 	"pgregory.net/rapid"
 )
 
-// documentWith returns a document with a route that has nothing odd, and what add puts in.
+// documentWith returns a document with one valid route and what add puts into it.
 func documentWith(add func(*Document)) Document {
 	d := Document{Version: 7, Content: NewContent()}
 	d.Content.Services["a"] = Service{Name: "a"}
 	d.Content.Services["b"] = Service{Name: "b"}
 	d.Content.Policies["p"] = Policy{Name: "p", Urgency: Normal, Timeout: time.Second}
-	d.AddRoute(soundRoute)
+	d.AddRoute(validRoute)
 	add(&d)
 	return d
 }
 
-var soundRoute = Route{Name: "sound", Host: "h", Path: "/sound/", Service: "a", Policy: "p", Open: true}
+var validRoute = Route{Name: "sound", Host: "h", Path: "/sound/", Service: "a", Policy: "p", Open: true}
 
-// TestFlawsAreCarriedOutAsNearlyAsCanBe covers what becomes of each flaw. None lets a call in
-// that the document does not, and none refuses a call for another entity's sake.
-func TestFlawsAreCarriedOutAsNearlyAsCanBe(t *testing.T) {
+// TestNormalizeCorrectsFlaws covers the correction of each flaw. No correction may admit a
+// call that the document does not allow, or refuse a call because of another entity.
+func TestNormalizeCorrectsFlaws(t *testing.T) {
 	keys := func(texts ...string) (hashes []string) {
 		for _, text := range texts {
 			hashes = append(hashes, KeyHash(text))
@@ -57,7 +57,7 @@
 		}, {
 			"no share with a weight", route(func(r *Route) { r.Shares = []Share{{"a", 0}, {"b", 0}} }),
 			"route odd: gives no service a part of its calls; they are refused as not run",
-			func(c Content) bool { return len(c.Routes) == 2 && !c.Routes["odd"].servable() },
+			func(c Content) bool { return len(c.Routes) == 2 && !c.Routes["odd"].hasWeightedTarget() },
 		}, {
 			"no service", route(func(*Route) {}),
 			"route odd: gives no service a part of its calls; they are refused as not run",
@@ -85,7 +85,7 @@
 			"service: has no name; left out", func(c Content) bool { return len(c.Services) == 2 },
 		}, {
 			"short idle timeout", func(d *Document) { d.Content.Limits.IdleTimeout = time.Millisecond },
-			"limits: idle timeout 1ms; taken as 1s", func(c Content) bool { return c.Limits.IdleTimeout == minIdle },
+			"limits: idle timeout 1ms; taken as 1s", func(c Content) bool { return c.Limits.IdleTimeout == minIdleTimeout },
 		}, {
 			"shared key", func(d *Document) {
 				d.AddWorkspace(Workspace{Name: "y", KeyHashes: keys("one", "two")})
@@ -110,7 +110,9 @@
 			// Without any workspace, calls would need no key.
 			"nameless workspace", func(d *Document) { d.AddWorkspace(Workspace{KeyHashes: keys("one")}) },
 			"workspace: has no name; its keys let nobody in",
-			func(c Content) bool { return len(c.Workspaces) == 1 && len(c.Workspaces[nameless].KeyHashes) == 0 },
+			func(c Content) bool {
+				return len(c.Workspaces) == 1 && len(c.Workspaces[unnamedWorkspace].KeyHashes) == 0
+			},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -122,63 +124,64 @@
 			s, err := d.State()
 			is.NoErr(err)
 			is.True(c.is(s.Content))
-			is.True(s.Content.Routes["sound"].Equal(soundRoute))
+			is.True(s.Content.Routes["sound"].Equal(validRoute))
 		})
 	}
 }
 
-// drawOdd returns a value that may be odd in any way that its type lets it be.
-func drawOdd(t *rapid.T, label string) float64 {
+// drawNumber returns a number, often a negative or very large one.
+func drawNumber(t *rapid.T, label string) float64 {
 	return rapid.OneOf(rapid.SampledFrom([]float64{0, -1, 1, 90, 1e18, -1e18}), rapid.Float64()).Draw(t, label)
 }
 
-// TestAnyDocumentCanBePutInForce guards against whole versions held back for one entity: it
-// draws documents of odd entities beside a sound route, which must be in force as written.
+// TestAnyDocumentCanBePutInForce guards against a version that is held back as a whole
+// because of one invalid entity. It draws documents of invalid entities beside a valid
+// route, which must be in force as written.
 func TestAnyDocumentCanBePutInForce(t *testing.T) {
 	names := rapid.SampledFrom([]string{"", "a", "b", "zz", "sound", "Front Desk"})
 	rapid.Check(t, func(t *rapid.T) {
 		d := documentWith(func(d *Document) {
-			d.Content.Limits = Limits{BodyBytes: int64(drawOdd(t, "body")), IdleTimeout: time.Duration(drawOdd(t, "idle"))}
+			d.Content.Limits = Limits{BodyBytes: int64(drawNumber(t, "body")), IdleTimeout: time.Duration(drawNumber(t, "idle"))}
 			for i := range rapid.IntRange(0, 4).Draw(t, "routes") {
 				policy := fmt.Sprintf("p%d", i)
 				d.Content.Policies[policy] = Policy{
-					Name: policy, Urgency: Urgency(drawOdd(t, "urgency")), Timeout: time.Duration(drawOdd(t, "timeout")),
-					Objective: time.Duration(drawOdd(t, "objective")), Retries: int(drawOdd(t, "retries")),
+					Name: policy, Urgency: Urgency(drawNumber(t, "urgency")), Timeout: time.Duration(drawNumber(t, "timeout")),
+					Objective: time.Duration(drawNumber(t, "objective")), Retries: int(drawNumber(t, "retries")),
 				}
 				r := Route{Name: names.Draw(t, "route"), Host: "h", Path: fmt.Sprintf("/odd%d/", i), Policy: policy, Service: names.Draw(t, "service")}
 				for range rapid.IntRange(0, 3).Draw(t, "shares") {
-					r.Shares = append(r.Shares, Share{names.Draw(t, "share"), int(drawOdd(t, "weight"))})
+					r.Shares = append(r.Shares, Share{names.Draw(t, "share"), int(drawNumber(t, "weight"))})
 				}
 				d.AddRoute(r)
 			}
 			for range rapid.IntRange(0, 4).Draw(t, "workspaces") {
 				d.AddWorkspace(Workspace{
 					Name: names.Draw(t, "workspace"), KeyHashes: []string{KeyHash(names.Draw(t, "key")), KeyHash(names.Draw(t, "key"))},
-					Rate: drawOdd(t, "rate"), Burst: drawOdd(t, "burst"), Urgency: Urgency(drawOdd(t, "urgency")),
+					Rate: drawNumber(t, "rate"), Burst: drawNumber(t, "burst"), Urgency: Urgency(drawNumber(t, "urgency")),
 				})
 			}
 		})
-		keyed := len(d.Content.Workspaces) > 0
+		hadWorkspaces := len(d.Content.Workspaces) > 0
 		d.Normalize()
 		s, err := d.State()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !s.Content.Routes["sound"].Equal(soundRoute) {
-			t.Fatalf("the sound route became %v", s.Content.Routes["sound"])
+		if !s.Content.Routes["sound"].Equal(validRoute) {
+			t.Fatalf("the valid route became %v", s.Content.Routes["sound"])
 		}
 		if len(s.Content.Routes) != len(d.Content.Routes) {
-			t.Fatal("routes were lost")
+			t.Fatal("state has fewer routes than the normalized document")
 		}
-		if keyed && len(s.Content.Workspaces) == 0 {
-			t.Fatal("calls need no key any more")
+		if hadWorkspaces && len(s.Content.Workspaces) == 0 {
+			t.Fatal("no workspace is left: calls would need no key")
 		}
 		b, err := s.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := DecodeState(b); err != nil {
-			t.Fatalf("a peer refuses it: %v", err)
+			t.Fatalf("encoded state cannot be decoded by a peer: %v", err)
 		}
 	})
 }
--- a/internal/config/record.go
+++ b/internal/config/record.go
@@ -6,11 +6,11 @@
 	"github.com/pkg/errors"
 )
 
-// Verb is what a change does to its entity.
+// Verb is the operation of a change on its entity.
 type Verb string
 
-// The verbs. Publish needs the entity to be absent, Revise and Withdraw need
-// it to be present, Put accepts both.
+// Verbs of a change. Publish requires that the entity does not exist, Revise and Withdraw
+// that it exists; Put accepts both.
 const (
 	Publish  Verb = "publish"
 	Revise   Verb = "revise"
@@ -18,8 +18,8 @@
 	Put      Verb = "put"
 )
 
-// Change is one entity's part of a change set. Exactly one of the five
-// pointers is set, or, for Withdraw, only Ref.
+// Change is the change of one entity in a change set. Exactly one of the five pointers is
+// set, or, for Withdraw, only Ref.
 type Change struct {
 	Verb      Verb       `json:"verb"`
 	Ref       Ref        `json:"ref"`
@@ -30,30 +30,30 @@
 	Workspace *Workspace `json:"workspace,omitempty"`
 }
 
-// Command is an operator's change set on its way through the log.
+// Command is an operator's change set as it is written to the log.
 type Command struct {
-	// ID makes a resend idempotent: a second record with it changes nothing.
+	// ID makes a resend idempotent: a second record with the same ID changes nothing.
 	ID     string `json:"id"`
 	Author string `json:"author"`
-	// IfVersion is the version the change set was made against. The command
-	// is rejected if one of its entities was changed after it. Nil: no check.
+	// IfVersion is the version against which the change set was made. The command is
+	// rejected if one of its entities has changed since. Nil: no check.
 	IfVersion *uint64  `json:"if_version,omitempty"`
 	Changes   []Change `json:"changes"`
 }
 
-// Checkpoint is a copy of a state, for readers whose log no longer holds the
-// records that led to it. It is a function of the log before its position, so
-// a late or doubled one is harmless: it can only repeat what was so then.
+// Checkpoint is a copy of a state, for readers whose log no longer holds the records that
+// led to it. It is a function of the log before its position, so a late or duplicate
+// checkpoint is harmless: it only repeats an earlier state.
 type Checkpoint struct {
 	By    string          `json:"by"`
 	State json.RawMessage `json:"state"`
-	// Reseed starts a replacement log whose offsets begin again: versions
+	// Reseed marks the start of a replacement log, whose offsets begin again. Versions
 	// continue above the checkpoint's.
 	Reseed bool `json:"reseed,omitempty"`
 }
 
-// Rules is the version of the rules by which Apply judges a record. Daemons
-// that read a record with later rules stop reading instead of guessing.
+// Rules is the version of the rules by which Apply accepts or rejects a record. Daemons
+// that read a record with newer rules stop reading, because they could apply it wrongly.
 const Rules = 1
 
 // Record is one entry of the configuration stream: a command or a checkpoint.
@@ -63,14 +63,14 @@
 	Checkpoint *Checkpoint `json:"checkpoint,omitempty"`
 }
 
-// Encode returns the record's bytes on the log.
+// Encode returns the record's encoding for the log.
 func (r Record) Encode() ([]byte, error) {
 	r.Rules = Rules
 	b, err := json.Marshal(r)
 	return b, errors.Wrap(err, "encode record")
 }
 
-// DecodeRecord reads a record's bytes.
+// DecodeRecord decodes a record of the log.
 func DecodeRecord(b []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(b, &r); err != nil {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -9,77 +9,78 @@
 	"github.com/pkg/errors"
 )
 
-// maxOutcomes bounds the outcomes a state remembers. It is part of the rules:
-// all daemons must forget the same ones, or a resend would be judged
-// differently on each.
+// maxOutcomes bounds the outcomes that a state keeps. It is part of the rules: all daemons
+// must drop the same ones, or they would treat a resent command differently.
 const maxOutcomes = 512
 
-// Status is what became of a command.
+// Status is the result of a command.
 type Status string
 
-// The statuses of a command. Only the first two are ever part of a State.
+// Statuses of a command. Only the first two occur in a State.
 const (
 	Accepted Status = "accepted"
 	Rejected Status = "rejected"
-	// StatusUnknown: the outcome was not learned; the command may be accepted.
+	// StatusUnknown means that the outcome was not learned; the command may be accepted.
 	StatusUnknown Status = "unknown"
 )
 
-// Outcome is the judgement on one command.
+// Outcome describes how a command was decided.
 type Outcome struct {
 	ID     string `json:"id"`
 	Author string `json:"author"`
 	Status Status `json:"status"`
-	// Version is the version the command made, or the version in force when
-	// it was rejected.
+	// Version is the version that the command created, or the version in force when it was
+	// rejected.
 	Version uint64 `json:"version"`
 	Reason  string `json:"reason,omitempty"`
-	// BeatenBy is the version that changed an entity first, or 0.
+	// BeatenBy is the version of the conflicting change that was accepted first, or 0.
 	BeatenBy uint64   `json:"beaten_by,omitempty"`
 	Refs     []string `json:"refs,omitempty"`
 }
 
-// Content is the part of a state that says which callers reach what.
+// Content is the part of a state that defines which callers reach which services.
 type Content struct {
 	Services map[string]Service `json:"services"`
 	Policies map[string]Policy  `json:"policies"`
 	Callers  map[string]Caller  `json:"callers"`
 	Routes   map[string]Route   `json:"routes"`
-	// Workspaces are those whose keys calls need. Without any, calls need no key.
+	// Workspaces holds the workspaces. If there are any, calls need a key of one of them,
+	// except on public routes.
 	Workspaces map[string]Workspace `json:"workspaces,omitempty"`
-	// Revisions holds the version that last changed or withdrew an entity,
-	// by Ref.String. It decides races, so it is part of the content.
+	// Revisions holds the version that last changed or withdrew an entity, by Ref.String.
+	// It decides which of two conflicting commands is accepted, so it is part of the
+	// content.
 	Revisions map[string]uint64 `json:"revisions"`
 	Limits    Limits            `json:"limits,omitzero"`
 }
 
-// State is the configuration after a prefix of the log. A State is immutable:
-// Apply returns a new one. Any number of goroutines may read it.
+// State is the configuration after a prefix of the log. A State is immutable: Apply
+// returns a new one. Any number of goroutines may read it.
 type State struct {
-	// Version is Base plus the offset plus one of the last accepted command;
-	// it only grows. Zero: nothing was accepted yet.
+	// Version is Base plus the offset plus one of the last accepted command. It only
+	// increases. Zero: no command has been accepted.
 	Version uint64 `json:"version"`
 	// Position is the offset of the next record to apply.
 	Position uint64 `json:"position"`
-	// Base is added to offsets so that versions go on growing after a lost
-	// log was replaced.
+	// Base is added to offsets so that versions keep increasing after a lost log is
+	// replaced.
 	Base     uint64    `json:"base"`
 	Content  Content   `json:"content"`
 	Outcomes []Outcome `json:"outcomes"`
-	// Hash identifies all of the above.
+	// Hash is computed over all fields above.
 	Hash string `json:"hash"`
-	// entities is the digest of Content, or nil if it was not worked out yet.
-	entities *digest
+	// contentDigest is the digest of Content, or nil if it has not been computed.
+	contentDigest *digest
 }
 
 // Empty returns the state before the first record.
 func Empty() *State {
 	s := &State{Content: NewContent()}
-	s.Hash = s.sum()
+	s.Hash = s.computeHash()
 	return s
 }
 
-// NewContent returns a content without entities.
+// NewContent returns a Content without entities.
 func NewContent() Content {
 	return Content{
 		Services:   map[string]Service{},
@@ -91,14 +92,14 @@
 	}
 }
 
-// sum identifies everything but the hash itself: also the outcomes, which
-// decide whether a resend runs, and the position.
-func (s *State) sum() string {
-	entities := s.entityDigest()
-	s.entities = &entities
-	b, err := json.Marshal(sealedPart{
+// computeHash returns the hash of everything but the hash itself. That includes the
+// position and the outcomes, which decide whether a resent command runs.
+func (s *State) computeHash() string {
+	contentDigest := s.digest()
+	s.contentDigest = &contentDigest
+	b, err := json.Marshal(hashInput{
 		Version: s.Version, Position: s.Position, Base: s.Base,
-		Limits: s.Content.Limits, Entities: entities, Outcomes: s.Outcomes,
+		Limits: s.Content.Limits, Entities: contentDigest, Outcomes: s.Outcomes,
 	})
 	if err != nil {
 		return "unhashable: " + err.Error()
@@ -107,16 +108,15 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// sealedPart is what the hash of a state is taken over.
-type sealedPart struct {
+// hashInput holds the values over which the hash of a state is computed.
+type hashInput struct {
 	Version, Position, Base uint64
 	Limits                  Limits
 	Entities                digest
 	Outcomes                []Outcome
 }
 
-// Outcome returns what became of the command with that ID, if it is still
-// remembered.
+// Outcome returns the outcome of the command with this ID, if it is still kept.
 func (s *State) Outcome(id string) (Outcome, bool) {
 	for i := len(s.Outcomes) - 1; i >= 0; i-- {
 		if s.Outcomes[i].ID == id {
@@ -126,20 +126,20 @@
 	return Outcome{}, false
 }
 
-// Encode returns the state's bytes, as sent in snapshots and checkpoints.
+// Encode returns the state's encoding, as sent in snapshots and checkpoints.
 func (s *State) Encode() ([]byte, error) {
 	b, err := json.Marshal(s)
 	return b, errors.Wrap(err, "encode state")
 }
 
-// DecodeState reads a state and checks it: its hash must match and its
-// content must be consistent. A part of a state is never returned.
+// DecodeState decodes a state and checks it: its hash must match and its content must be
+// consistent. It never returns a part of a state.
 func DecodeState(b []byte) (*State, error) {
 	s := &State{Content: NewContent()}
 	if err := json.Unmarshal(b, s); err != nil {
 		return nil, errors.Wrap(err, "decode state")
 	}
-	if got := s.sum(); got != s.Hash {
+	if got := s.computeHash(); got != s.Hash {
 		return nil, errors.Errorf("decode state: hash is %s, declared %s", got, s.Hash)
 	}
 	if err := s.Content.Consistent(); err != nil {
@@ -148,27 +148,27 @@
 	return s, nil
 }
 
-// Consistent reports two workspaces that share a key, or the first route that names
-// something absent. A content must be consistent before it may be served.
+// Consistent returns an error if two workspaces share a key or a route refers to an entity
+// that does not exist. Only consistent content may be served.
 func (c Content) Consistent() error {
-	if err := c.workspacesConsistent(); err != nil {
+	if err := c.checkWorkspaceKeys(); err != nil {
 		return err
 	}
-	return c.routesConsistent(Content.routeConsistent)
+	return c.checkRoutes(Content.checkRoute)
 }
 
-// routesConsistent reports the first route by name that does not pass the check, so that all
-// daemons give the same reason.
-func (c Content) routesConsistent(check func(Content, Route) error) error {
+// checkRoutes returns the error of the first route by name that fails the check, so that
+// all daemons give the same reason.
+func (c Content) checkRoutes(check func(Content, Route) error) error {
 	for _, r := range c.Routes {
 		if check(c, r) != nil {
-			return c.firstInconsistent(check)
+			return c.firstRouteError(check)
 		}
 	}
 	return nil
 }
 
-func (c Content) firstInconsistent(check func(Content, Route) error) error {
+func (c Content) firstRouteError(check func(Content, Route) error) error {
 	for _, name := range sortedKeys(c.Routes) {
 		if err := check(c, c.Routes[name]); err != nil {
 			return err
@@ -177,27 +177,28 @@
 	return nil
 }
 
-// routeConsistent reports the first thing that a route names and the content lacks.
-func (c Content) routeConsistent(r Route) error { return c.routeLeads(r, r.Targets(), 0) }
+// checkRoute returns an error if the route refers to an entity that does not exist.
+func (c Content) checkRoute(r Route) error { return c.checkReferences(r, r.Targets(), 0) }
 
-// routeCommandable demands more of a route that a command may have left behind: a service,
-// and a weight for each share. Its errors are part of the rules.
-func (c Content) routeCommandable(r Route) error {
+// checkCommandRoute checks a route after a command, by stricter rules than checkRoute: it
+// must have a service, and each share a weight of at least 1. Its errors are part of the
+// rules.
+func (c Content) checkCommandRoute(r Route) error {
 	targets := r.Targets()
 	if len(targets) == 0 {
 		targets = []Share{{Service: r.Service, Weight: 1}}
 	}
-	return c.routeLeads(r, targets, 1)
+	return c.checkReferences(r, targets, 1)
 }
 
-// routeLeads reports the first thing that the content lacks for a route with these targets,
-// each of which must have the least weight.
-func (c Content) routeLeads(r Route, targets []Share, least int) error {
+// checkReferences returns an error if a route with these targets refers to an entity that
+// does not exist, or if a target's weight is below minWeight.
+func (c Content) checkReferences(r Route, targets []Share, minWeight int) error {
 	for _, t := range targets {
 		if _, ok := c.Services[t.Service]; !ok {
 			return errors.Errorf("route %s names service %s, which does not exist", r.Name, t.Service)
 		}
-		if t.Weight < least {
+		if t.Weight < minWeight {
 			return errors.Errorf("route %s gives service %s the weight %d", r.Name, t.Service, t.Weight)
 		}
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -13,31 +13,31 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds on what a command may hold. They are part of the rules: a daemon
-// with other bounds would judge the same record differently.
+// Bounds on commands. They are part of the rules: a daemon with other bounds could accept
+// a record that others reject.
 const (
-	MaxChanges = 2000
-	MaxCallers = 200
-	MaxTimeout = 10 * time.Minute
-	MaxRamp    = 10 * time.Minute
-	MaxRetries = 5
-	MaxPath    = 1024
-	maxID      = 64
-	maxAuthor  = 128
+	MaxChanges      = 2000
+	MaxCallers      = 200
+	MaxTimeout      = 10 * time.Minute
+	MaxRamp         = 10 * time.Minute
+	MaxRetries      = 5
+	MaxPath         = 1024
+	maxIDLength     = 64
+	maxAuthorLength = 128
 )
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9._-]{0,61}[a-z0-9])?$`)
 
-// ValidName reports whether an entity or upstream may bear this name.
+// ValidName reports whether an entity or upstream may have this name.
 func ValidName(name string) bool { return namePattern.MatchString(name) }
 
-// Validate checks everything of a command that does not depend on a state.
+// Validate checks everything in a command that does not depend on a state.
 func (c Command) Validate() error {
 	switch {
-	case c.ID == "" || len(c.ID) > maxID:
-		return errors.Errorf("command id must have 1 to %d characters", maxID)
-	case len(c.Author) > maxAuthor:
-		return errors.Errorf("author must have at most %d characters", maxAuthor)
+	case c.ID == "" || len(c.ID) > maxIDLength:
+		return errors.Errorf("command id must have 1 to %d characters", maxIDLength)
+	case len(c.Author) > maxAuthorLength:
+		return errors.Errorf("author must have at most %d characters", maxAuthorLength)
 	case len(c.Changes) == 0:
 		return errors.New("a change set needs at least one change")
 	case len(c.Changes) > MaxChanges:
@@ -79,20 +79,20 @@
 func (ch Change) validateEntity() error {
 	switch {
 	case ch.Ref.Kind == KindService && ch.Service != nil:
-		return cmp.Or(sameName(ch.Ref, ch.Service.Name), ch.Service.validate())
+		return cmp.Or(checkEntityName(ch.Ref, ch.Service.Name), ch.Service.validate())
 	case ch.Ref.Kind == KindPolicy && ch.Policy != nil:
-		return cmp.Or(sameName(ch.Ref, ch.Policy.Name), ch.Policy.validate())
+		return cmp.Or(checkEntityName(ch.Ref, ch.Policy.Name), ch.Policy.validate())
 	case ch.Ref.Kind == KindCaller && ch.Caller != nil:
-		return cmp.Or(sameName(ch.Ref, ch.Caller.Name), ch.Caller.validate())
+		return cmp.Or(checkEntityName(ch.Ref, ch.Caller.Name), ch.Caller.validate())
 	case ch.Ref.Kind == KindRoute && ch.Route != nil:
-		return cmp.Or(sameName(ch.Ref, ch.Route.Name), ch.Route.validate())
+		return cmp.Or(checkEntityName(ch.Ref, ch.Route.Name), ch.Route.validate())
 	case ch.Ref.Kind == KindWorkspace && ch.Workspace != nil:
-		return cmp.Or(sameName(ch.Ref, ch.Workspace.Name), ch.Workspace.validate())
+		return cmp.Or(checkEntityName(ch.Ref, ch.Workspace.Name), ch.Workspace.validate())
 	}
 	return errors.Errorf("change of kind %q has no entity of that kind", ch.Ref.Kind)
 }
 
-func sameName(ref Ref, name string) error {
+func checkEntityName(ref Ref, name string) error {
 	if ref.Name != name {
 		return errors.Errorf("entity is named %q", name)
 	}
--- a/internal/config/workspace.go
+++ b/internal/config/workspace.go
@@ -9,54 +9,55 @@
 	"github.com/pkg/errors"
 )
 
-// Workspace is a group of callers that share keys, an urgency and a limit of calls.
+// Workspace is a group of callers that share keys, an urgency and a rate limit.
 type Workspace struct {
 	Name string `json:"name"`
-	// KeyHashes are the KeyHash of each of its keys, sorted. The keys themselves are
-	// secrets and held nowhere.
+	// KeyHashes are the sorted hashes of its keys, as returned by KeyHash. The keys
+	// themselves are secrets and are not stored.
 	KeyHashes []string `json:"key_hashes,omitempty"`
-	// Urgency goes before that of a call's route. Zero: the route's holds.
+	// Urgency takes precedence over that of a call's route. Zero: the route's applies.
 	Urgency Urgency `json:"urgency,omitempty"`
-	// Rate is how many calls a second all daemons together let in. Zero: no limit.
+	// Rate is how many calls per second all daemons together may let in. Zero: no limit.
 	Rate float64 `json:"rate,omitempty"`
-	// Burst is how many calls may come at once beyond that.
+	// Burst is how many calls beyond the rate may arrive at once.
 	Burst float64 `json:"burst,omitempty"`
 }
 
-// Bounds on workspaces. They are part of the rules, like those of commands. Documents are
-// bounded by their size instead.
+// Bounds on workspaces. They are part of the rules, like the bounds on commands. The
+// workspaces and keys of a document are bounded by the document's size instead.
 const (
-	// MaxWorkspaces and MaxKeys bound the memory that a content takes.
+	// MaxWorkspaces and MaxKeys bound the memory used by a Content.
 	MaxWorkspaces = 10_000
 	MaxKeys       = 16
 	// maxRate bounds the rate and the burst, in calls.
 	maxRate = 1e9
 )
 
-// KeyHash returns what stands for a key, of a workspace or a caller, in the configuration, in records and
-// in messages: its SHA-256 in hexadecimal. Keys are drawn at random, so that no salt is
-// needed to keep them from being guessed.
+// KeyHash returns the SHA-256 of a key in hexadecimal. It identifies the key of a
+// workspace or a caller in the configuration, in records and in messages. Keys are random,
+// so no salt is needed to prevent guessing.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Equal reports whether two workspaces say the same.
+// Equal reports whether two workspaces have the same values.
 func (ws Workspace) Equal(o Workspace) bool {
 	return ws.Name == o.Name && ws.Urgency == o.Urgency && ws.Rate == o.Rate && ws.Burst == o.Burst &&
 		slices.Equal(ws.KeyHashes, o.KeyHashes)
 }
 
-// validate checks a workspace that a command holds.
+// validate checks a workspace in a command.
 func (ws Workspace) validate() error {
 	if len(ws.KeyHashes) > MaxKeys {
 		return errors.Errorf("a workspace may have %d keys, this one has %d", MaxKeys, len(ws.KeyHashes))
 	}
-	return ws.consistent()
+	return ws.validateFields()
 }
 
-// consistent reports the first thing that makes a workspace unusable, wherever it is from.
-func (ws Workspace) consistent() error {
+// validateFields returns the first error that makes the workspace unusable, whether it
+// comes from a command or from a document.
+func (ws Workspace) validateFields() error {
 	switch {
 	case ws.Name == "":
 		return errors.New("a workspace needs a name")
@@ -71,7 +72,7 @@
 		if err := checkKeyHash(hash); err != nil {
 			return err
 		}
-		if hash == emptyKey {
+		if hash == emptyKeyHash {
 			return errors.New("a key is empty")
 		}
 		if i > 0 && hash <= ws.KeyHashes[i-1] {
@@ -81,8 +82,8 @@
 	return nil
 }
 
-// emptyKey stands for a key without characters, which any caller could send.
-var emptyKey = KeyHash("")
+// emptyKeyHash is the hash of the empty key, which any caller could send.
+var emptyKeyHash = KeyHash("")
 
 func checkKeyHash(hash string) error {
 	b, err := hex.DecodeString(hash)
@@ -92,15 +93,16 @@
 	return nil
 }
 
-// workspacesConsistent reports the first two workspaces, by name, that share a key.
-func (c Content) workspacesConsistent() error {
-	holder := map[string]string{}
+// checkWorkspaceKeys returns an error for the first workspace by name that shares a
+// key with an earlier one.
+func (c Content) checkWorkspaceKeys() error {
+	workspaceByKey := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(c.Workspaces)) {
 		for _, hash := range c.Workspaces[name].KeyHashes {
-			if other, taken := holder[hash]; taken {
+			if other, taken := workspaceByKey[hash]; taken {
 				return errors.Errorf("workspaces %s and %s share a key", other, name)
 			}
-			holder[hash] = name
+			workspaceByKey[hash] = name
 		}
 	}
 	return nil
