--- a/internal/settings/line.go
+++ b/internal/settings/line.go
@@ -8,8 +8,8 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// lineOf returns the line of a dotted key in a YAML document, or 1 if the
-// document does not name it.
+// lineOf returns the line of a dotted key in a YAML document. If the document does not
+// contain the key, it returns the line of the nearest parent, or 1.
 func lineOf(doc []byte, key string) int {
 	file, err := parser.ParseBytes(doc, 0)
 	if err != nil || len(file.Docs) == 0 || file.Docs[0].Body == nil {
@@ -18,7 +18,7 @@
 	want := "$." + key
 	line := 1
 	for node := want; strings.Contains(node, "."); node = node[:strings.LastIndex(node, ".")] {
-		if n, ok := findPath(file, node); ok {
+		if n, ok := lineOfPath(file, node); ok {
 			line = n
 			break
 		}
@@ -26,7 +26,7 @@
 	return line
 }
 
-func findPath(file *ast.File, path string) (int, bool) {
+func lineOfPath(file *ast.File, path string) (int, bool) {
 	p, err := yaml.PathString(path)
 	if err != nil {
 		return 0, false
