--- a/cmd/comfreyctl/commands.go
+++ b/cmd/comfreyctl/commands.go
@@ -47,7 +47,7 @@
 	}
 	answer, err := client.RunCommand(ctx, req)
 	if err != nil {
-		return explain(err)
+		return wrapRequestError(err)
 	}
 	return g.print(answer)
 }
@@ -59,7 +59,7 @@
 	IfVersion *uint64 `help:"The version the change set was made against."`
 }
 
-// Run publishes the file.
+// Run publishes the change set in the file.
 func (c *applyCmd) Run(ctx context.Context, g *globals) error {
 	b, err := os.ReadFile(c.Path)
 	if err != nil {
@@ -81,7 +81,7 @@
 	}
 	answer, err := client.PublishChangeSet(ctx, req)
 	if err != nil {
-		return explain(err)
+		return wrapRequestError(err)
 	}
 	return g.print(answer)
 }
@@ -95,13 +95,14 @@
 		printTable(a.Columns, a.Rows)
 	}
 	if o, ok := a.Outcome.Get(); ok {
-		return g.outcome(o)
+		return g.reportOutcome(o)
 	}
 	return nil
 }
 
-// outcome says what became of a command; the exit code says it to scripts.
-func (g *globals) outcome(o api.Outcome) error {
+// reportOutcome prints that a command was accepted, or returns an error whose exit code
+// says what happened to it.
+func (g *globals) reportOutcome(o api.Outcome) error {
 	reason := o.Reason.Or("")
 	switch o.Status {
 	case api.OutcomeStatusAccepted:
@@ -152,7 +153,7 @@
 	}
 	s, err := client.GetStatus(ctx)
 	if err != nil {
-		return explain(err)
+		return wrapRequestError(err)
 	}
 	if g.Output == "json" {
 		return printJSON(s)
@@ -165,8 +166,8 @@
 	return nil
 }
 
-// marshalLine writes a value as one JSON line.
-func marshalLine(v any) {
+// printJSONLine prints a value as one line of JSON.
+func printJSONLine(v any) {
 	b, err := json.Marshal(v)
 	if err == nil {
 		fmt.Println(string(b))
--- a/cmd/comfreyctl/main.go
+++ b/cmd/comfreyctl/main.go
@@ -1,8 +1,8 @@
-// Command comfreyctl asks daemons and changes the configuration, in the query
-// and command language.
+// Command comfreyctl queries daemons and changes the configuration, with statements of the
+// query and command language.
 //
-// Exit codes: 0 done, 1 the daemon could not be reached, 2 bad input, 3 the
-// command was rejected, 4 its outcome is unknown.
+// Exit codes: 0 success, 1 the daemon could not be reached, 2 invalid input, 3 the command
+// was rejected, 4 its outcome is unknown.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/comfreygate/comfreygate/internal/exit"
 )
 
-// Exit codes beside those of package exit.
+// Exit codes in addition to those of package exit.
 const (
 	exitRejected = 3
 	exitUnknown  = 4
@@ -66,20 +66,20 @@
 	return api.Bearer{Token: string(t)}, nil
 }
 
-// noToken is sent when there is no token: a daemon without one takes any.
-const noToken = "none"
+// placeholderToken is sent when there is no token: a daemon without a token accepts any.
+const placeholderToken = "none"
 
 func (g *globals) client(address string) (*api.Client, error) {
 	token := os.Getenv("COMFREY_TOKEN")
 	if token == "" && g.TokenFile != "" {
 		b, err := os.ReadFile(g.TokenFile)
 		if err != nil {
-			return nil, &exit.Error{Code: exit.BadInput, Err: errors.Wrap(err, "token file")}
+			return nil, &exit.Error{Code: exit.BadInput, Err: errors.Wrap(err, "read token file")}
 		}
 		token = strings.TrimSpace(string(b))
 	}
 	if token == "" {
-		token = noToken
+		token = placeholderToken
 	}
 	return api.NewClient("http://"+address, tokenSource(token))
 }
@@ -94,11 +94,12 @@
 	return "unknown"
 }
 
-// explain puts a daemon's refusal into one line.
-func explain(err error) error {
-	var answered *api.ErrorStatusCode
-	if errors.As(err, &answered) {
-		return &exit.Error{Code: exit.BadInput, Err: errors.New(answered.Response.Error)}
+// wrapRequestError reduces a daemon's error response to its message, with the exit code
+// for bad input. It marks any other error as a failed request.
+func wrapRequestError(err error) error {
+	var refused *api.ErrorStatusCode
+	if errors.As(err, &refused) {
+		return &exit.Error{Code: exit.BadInput, Err: errors.New(refused.Response.Error)}
 	}
-	return errors.Wrap(err, "ask daemon")
+	return errors.Wrap(err, "request to daemon")
 }
--- a/cmd/comfreyctl/watch.go
+++ b/cmd/comfreyctl/watch.go
@@ -16,18 +16,18 @@
 	"github.com/comfreygate/comfreygate/internal/exit"
 )
 
-// watchEvery is the interval at which a watch asks again.
-const watchEvery = 200 * time.Millisecond
+// watchInterval is the interval at which watch reads the daemon's status.
+const watchInterval = 200 * time.Millisecond
 
-// namedMax bounds the lagging daemons that are named.
-const namedMax = 5
+// maxNamedDaemons bounds the lagging daemons that are listed by name.
+const maxNamedDaemons = 5
 
 type watchCmd struct {
 	Version int64         `help:"Version to wait for. Default: the one held now."`
 	Timeout time.Duration `default:"1m" help:"When to give up."`
 }
 
-// Run waits until the version is in force everywhere.
+// Run waits until the version is in force on all daemons.
 func (c *watchCmd) Run(ctx context.Context, g *globals) error {
 	client, err := g.client(g.Address)
 	if err != nil {
@@ -35,36 +35,36 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	shown := ""
+	lastLine := ""
 	for {
 		s, err := client.GetStatus(ctx)
 		if err != nil {
-			return explain(err)
+			return wrapRequestError(err)
 		}
-		if line := progress(s); line != shown {
+		if line := progress(s); line != lastLine {
 			fmt.Println(line)
-			shown = line
+			lastLine = line
 		}
 		if len(s.Lagging) == 0 && s.Version >= c.Version {
 			return nil
 		}
 		select {
-		case <-time.After(watchEvery):
+		case <-time.After(watchInterval):
 		case <-ctx.Done():
-			return &exit.Error{Code: exitUnknown, Err: errors.New("gave up waiting")}
+			return &exit.Error{Code: exitUnknown, Err: errors.New("stopped waiting: the version is not in force on all daemons")}
 		}
 	}
 }
 
-// progress says where a version is in force.
+// progress describes on how many daemons the version is in force, and which ones lag.
 func progress(s *api.Status) string {
 	line := fmt.Sprintf("version %d in force on %d of %d daemons", s.Version, s.Applied, s.Members)
 	if len(s.Lagging) == 0 {
 		return line
 	}
-	named := s.Lagging[:min(len(s.Lagging), namedMax)]
-	line += ", waiting for " + strings.Join(named, ", ")
-	if more := len(s.Lagging) - len(named); more > 0 {
+	names := s.Lagging[:min(len(s.Lagging), maxNamedDaemons)]
+	line += ", waiting for " + strings.Join(names, ", ")
+	if more := len(s.Lagging) - len(names); more > 0 {
 		line += fmt.Sprintf(" and %d more", more)
 	}
 	return line
@@ -78,7 +78,8 @@
 	Kind    string `help:"Only events of this kind."`
 }
 
-// Run merges the events of all daemons that can be reached.
+// Run merges the events of all reachable daemons and prints them in the order of their
+// clocks.
 func (c *timelineCmd) Run(ctx context.Context, g *globals) error {
 	client, err := g.client(g.Address)
 	if err != nil {
@@ -86,17 +87,17 @@
 	}
 	answer, err := client.RunCommand(ctx, &api.CommandRequest{Text: "show daemons where state != lapsed"})
 	if err != nil {
-		return explain(err)
+		return wrapRequestError(err)
 	}
 	var events []api.Event
 	for _, row := range answer.Rows {
-		list, err := g.eventsOf(ctx, row[len(row)-1])
+		list, err := g.fetchEvents(ctx, row[len(row)-1])
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "comfreyctl: events of %s are missing: %v\n", row[0], err)
 		}
 		events = append(events, list...)
 	}
-	events = slices.DeleteFunc(events, func(e api.Event) bool { return !c.wants(e) })
+	events = slices.DeleteFunc(events, func(e api.Event) bool { return !c.matches(e) })
 	slices.SortStableFunc(events, func(a, b api.Event) int {
 		return cmp.Or(cmp.Compare(a.Clock, b.Clock), cmp.Compare(a.VM, b.VM))
 	})
@@ -104,7 +105,7 @@
 	return nil
 }
 
-func (g *globals) eventsOf(ctx context.Context, address string) ([]api.Event, error) {
+func (g *globals) fetchEvents(ctx context.Context, address string) ([]api.Event, error) {
 	client, err := g.client(address)
 	if err != nil {
 		return nil, err
@@ -114,7 +115,7 @@
 	return client.ListEvents(ctx)
 }
 
-func (c *timelineCmd) wants(e api.Event) bool {
+func (c *timelineCmd) matches(e api.Event) bool {
 	return (c.Version == 0 || e.Version.Or(0) == c.Version) &&
 		(c.Request == "" || e.Request.Or("") == c.Request) &&
 		(c.VM == "" || e.VM == c.VM) &&
@@ -125,7 +126,7 @@
 func (g *globals) printEvents(events []api.Event) {
 	if g.Output == "json" {
 		for _, e := range events {
-			marshalLine(&e)
+			printJSONLine(&e)
 		}
 		return
 	}
--- a/cmd/comfreyd/dev.go
+++ b/cmd/comfreyd/dev.go
@@ -24,7 +24,7 @@
 	Logging string `default:"warn" enum:"debug,info,warn,error" help:"Least level to log."`
 }
 
-// devVM is a VM of the dev mode.
+// devVM describes a VM of the dev mode.
 type devVM struct {
 	name    string
 	domain  string
@@ -38,12 +38,13 @@
 }
 
 const (
-	devSlots       = 12
-	devConnections = 130
-	devReady       = 30 * time.Second
+	devSlots        = 12
+	devConnections  = 130
+	devReadyTimeout = 30 * time.Second
 )
 
-// Run starts everything, publishes the example and waits for a signal.
+// Run starts the log, the daemons and their upstreams, publishes the example configuration
+// and waits for a signal.
 func (c *devCmd) Run() error {
 	log := devlog.New()
 	var agents []*agent.Agent
@@ -54,7 +55,7 @@
 		}
 		agents = append(agents, a)
 	}
-	fleet := &devFleet{agents: agents, running: map[place]*devUpstream{}, ended: map[uint64]bool{}}
+	fleet := &devFleet{agents: agents, running: map[upstreamKey]*devUpstream{}, finished: map[uint64]bool{}}
 	for i := range devVMs {
 		if err := fleet.start(i, firstVersion); err != nil {
 			return err
@@ -63,8 +64,8 @@
 	if err := publishExample(agents); err != nil {
 		return err
 	}
-	go fleet.watch()
-	explain(agents[0].Addresses())
+	go fleet.watchRollouts()
+	printIntroduction(agents[0].Addresses())
 	return stopOnSignal(agents)
 }
 
@@ -88,29 +89,29 @@
 	return a, nil
 }
 
-// publishExample publishes the example through the first daemon and waits
-// until it is in force on all.
+// publishExample publishes the example configuration through the first daemon and waits
+// until it is in force on all daemons.
 func publishExample(agents []*agent.Agent) error {
 	changes, err := lang.ParseYAML([]byte(dev.Example))
 	if err != nil {
 		return errors.Wrap(err, "example configuration")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), devReady)
+	ctx, cancel := context.WithTimeout(context.Background(), devReadyTimeout)
 	defer cancel()
 	o := agents[0].Submit(ctx, config.Command{Author: "dev", Changes: changes})
 	if o.Status != config.Accepted {
 		return errors.Errorf("example configuration: %s: %s", o.Status, o.Reason)
 	}
 	for ctx.Err() == nil {
-		if everywhere(agents, o.Version) {
+		if inForceEverywhere(agents, o.Version) {
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return errors.New("example configuration did not come into force")
+	return errors.New("example configuration was not in force on all daemons in time")
 }
 
-func everywhere(agents []*agent.Agent, version uint64) bool {
+func inForceEverywhere(agents []*agent.Agent, version uint64) bool {
 	for _, a := range agents {
 		ready := false
 		a.Inspect(func(w *table.World) {
@@ -126,7 +127,7 @@
 	return true
 }
 
-func explain(at agent.Addresses) {
+func printIntroduction(at agent.Addresses) {
 	fmt.Printf(`Six daemons in three failure domains are up; the example configuration is in force on all.
 
 Call a service:
--- a/cmd/comfreyd/devrollout.go
+++ b/cmd/comfreyd/devrollout.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	// firstVersion is that of the example upstreams.
+	// firstVersion is the version of the upstreams that run from the start.
 	firstVersion = "1.0"
-	// devWatch is how often roll-outs are looked at.
-	devWatch = 100 * time.Millisecond
-	// devPause lies between two calls while a roll-out goes on: some 200 a second, enough
-	// to tell a bad version from a good one.
-	devPause = 5 * time.Millisecond
-	// devDrain is how long upstreams of a reverted version stay.
-	devDrain = 2 * time.Second
+	// devWatchInterval is the interval at which rollouts are read.
+	devWatchInterval = 100 * time.Millisecond
+	// devCallInterval is the pause between two calls during a rollout: some 200 calls per
+	// second, enough to tell a bad version from a good one.
+	devCallInterval = 5 * time.Millisecond
+	// devStopDelay is how long upstreams of a reverted version keep running.
+	devStopDelay = 2 * time.Second
 )
 
-// devPaths are routes of the example by the service that they lead to.
+// devPaths maps services of the example to a path of a route that leads to them.
 var devPaths = map[string]string{"repair-tickets": "/tickets/42", "parts-payments": "/payments/7"}
 
-// devFleet is what stands beside the daemons of the dev mode: it starts upstreams of a
-// version that is ordered, and stops those that a roll-out leaves behind, as a platform
-// would.
+// devFleet runs the upstreams of the dev mode as a platform would: it starts upstreams of
+// the version that a rollout introduces, and stops those that the rollout has replaced or
+// reverted.
 type devFleet struct {
 	agents []*agent.Agent
 	// running holds the upstreams by VM and version.
-	running map[place]*devUpstream
-	// ended are the orders that were followed to their end.
-	ended map[uint64]bool
+	running map[upstreamKey]*devUpstream
+	// finished marks the rollouts, by ID, whose final phase has been handled.
+	finished map[uint64]bool
 }
 
-type place struct {
+type upstreamKey struct {
 	vm      int
 	version string
 }
@@ -49,19 +49,19 @@
 	stop chan struct{}
 }
 
-// start starts an upstream of a version beside a daemon.
+// start starts an upstream of a version on a VM.
 func (f *devFleet) start(vm int, version string) error {
 	up, err := dev.StartUpstream(devVMs[vm].name, devVMs[vm].service, version)
 	if err != nil {
 		return err
 	}
 	u := &devUpstream{Upstream: up, stop: make(chan struct{})}
-	f.running[place{vm, version}] = u
+	f.running[upstreamKey{vm, version}] = u
 	go u.announce(f.agents[vm])
 	return nil
 }
 
-// announce keeps an upstream announced until it is stopped.
+// announce announces the upstream to its daemon every second until it is stopped.
 func (u *devUpstream) announce(a *agent.Agent) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -77,9 +77,9 @@
 	}
 }
 
-// watch follows the roll-outs that are ordered.
-func (f *devFleet) watch() {
-	for range time.Tick(devWatch) {
+// watchRollouts polls the rollouts and starts and stops upstreams accordingly.
+func (f *devFleet) watchRollouts() {
+	for range time.Tick(devWatchInterval) {
 		var list []rollout.Record
 		f.agents[0].Inspect(func(w *table.World) {
 			for _, r := range w.Rollouts {
@@ -87,32 +87,33 @@
 			}
 		})
 		for _, r := range list {
-			f.follow(r)
+			f.reconcile(r)
 		}
 	}
 }
 
-// follow starts the upstreams of a version that is ordered, and stops those of others, or
-// its own, when the roll-out has ended.
-func (f *devFleet) follow(r rollout.Record) {
-	if f.ended[r.ID] {
+// reconcile starts the upstreams of a rollout's target version. Once the rollout has
+// ended, it stops the upstreams of the other versions or, if it was reverted, of the
+// target version.
+func (f *devFleet) reconcile(r rollout.Record) {
+	if f.finished[r.ID] {
 		return
 	}
-	f.ended[r.ID] = r.Phase.Final()
+	f.finished[r.ID] = r.Phase.Final()
 	for vm := range devVMs {
-		at := place{vm, r.Target}
+		key := upstreamKey{vm, r.Target}
 		if devVMs[vm].service != r.Service {
 			continue
 		}
 		switch {
-		case !r.Phase.Final() && f.running[at] == nil:
+		case !r.Phase.Final() && f.running[key] == nil:
 			if err := f.start(vm, r.Target); err != nil {
 				fmt.Fprintln(os.Stderr, "comfreyd:", err)
 			}
-			go f.call(vm, r)
+			go f.sendCalls(vm, r)
 		case r.Phase == rollout.Reverted:
-			time.AfterFunc(devDrain, f.running[at].end)
-			delete(f.running, at)
+			time.AfterFunc(devStopDelay, f.running[key].shutDown)
+			delete(f.running, key)
 		case r.Phase == rollout.Completed:
 			f.stopOthers(vm, r.Target)
 		}
@@ -120,23 +121,23 @@
 }
 
 func (f *devFleet) stopOthers(vm int, version string) {
-	for at, u := range f.running {
-		if at.vm == vm && at.version != version {
-			u.end()
-			delete(f.running, at)
+	for key, u := range f.running {
+		if key.vm == vm && key.version != version {
+			u.shutDown()
+			delete(f.running, key)
 		}
 	}
 }
 
-func (u *devUpstream) end() {
+func (u *devUpstream) shutDown() {
 	close(u.stop)
 	u.Close()
 }
 
-// call sends calls to a daemon while the roll-out goes on.
-func (f *devFleet) call(vm int, r rollout.Record) {
+// sendCalls sends calls to a daemon while the rollout is active.
+func (f *devFleet) sendCalls(vm int, r rollout.Record) {
 	url := "http://" + f.agents[vm].Addresses().Callers + devPaths[r.Service]
-	for live := true; live; time.Sleep(devPause) {
+	for active := true; active; time.Sleep(devCallInterval) {
 		req, err := http.NewRequest(http.MethodGet, url, nil)
 		if err != nil {
 			return
@@ -146,8 +147,8 @@
 			res.Body.Close()
 		}
 		f.agents[vm].Inspect(func(w *table.World) {
-			now := w.Rollouts[r.Service]
-			live = now != nil && now.ID == r.ID && now.Live()
+			current := w.Rollouts[r.Service]
+			active = current != nil && current.ID == r.ID && current.Live()
 		})
 	}
 }
--- a/cmd/comfreyd/logging.go
+++ b/cmd/comfreyd/logging.go
@@ -10,12 +10,12 @@
 	"github.com/rs/zerolog/diode"
 )
 
-// logBuffer is how many lines wait to be written. At 350 bytes a line they
-// take 1.4 MB at the most.
-const logBuffer = 4096
+// logBufferLines bounds the lines that wait to be written. At 350 bytes a line they take
+// at most 1.4 MB.
+const logBufferLines = 4096
 
-// boundedLog writes lines in the background and drops the oldest when the
-// reader of standard output does not keep up: a call never waits for a log.
+// boundedLog writes lines in the background. It drops the oldest lines when the reader of
+// standard output does not keep up, so that a call never waits for the log.
 type boundedLog struct {
 	io.WriteCloser
 	dropped atomic.Int64
@@ -23,12 +23,12 @@
 
 func newBoundedLog() *boundedLog {
 	b := &boundedLog{}
-	b.WriteCloser = diode.NewWriter(os.Stdout, logBuffer, 0, func(missed int) { b.dropped.Add(int64(missed)) })
+	b.WriteCloser = diode.NewWriter(os.Stdout, logBufferLines, 0, func(missed int) { b.dropped.Add(int64(missed)) })
 	return b
 }
 
-// register shows how many lines were dropped among the metrics.
-func (b *boundedLog) register(r metrics.Registry) {
+// registerMetrics registers the number of dropped lines as a metric.
+func (b *boundedLog) registerMetrics(r metrics.Registry) {
 	r.GetOrRegister("log.dropped", metrics.NewFunctionalGauge(b.dropped.Load))
 }
 
--- a/cmd/comfreyd/main.go
+++ b/cmd/comfreyd/main.go
@@ -1,7 +1,7 @@
-// Command comfreyd is the daemon that runs on every upstream VM.
+// Command comfreyd is the daemon that runs on every VM with upstreams.
 //
-// Exit codes: 0 after a graceful stop, 1 if it failed, 2 for bad settings or
-// arguments, 3 if the stop had to cut calls.
+// Exit codes: 0 after a graceful stop, 1 after a failure, 2 for invalid settings or
+// arguments, 3 if the stop had to abort calls.
 package main
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/comfreygate/comfreygate/internal/exit"
 )
 
-// exitCut is the exit code of a stop that had to cut calls.
-const exitCut = 3
+// exitCallsAborted is the exit code of a stop that had to abort calls.
+const exitCallsAborted = 3
 
 type cli struct {
 	Run   runCmd   `cmd:"" help:"Run the daemon of this VM."`
--- a/cmd/comfreyd/platform.go
+++ b/cmd/comfreyd/platform.go
@@ -14,8 +14,8 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// agentOptions returns what the daemon is made of: with the platform's
-// headers and configuration where the platform runs it.
+// agentOptions returns the options of the agent. Where the platform runs the daemon, they
+// include the platform's headers and its source of configuration.
 func agentOptions(s settings.Settings, log store.Log, logger zerolog.Logger) agent.Options {
 	opts := agent.Options{Log: log, Logger: logger, Dialect: callpath.DefaultDialect()}
 	if s.Platform.Enabled() {
@@ -26,7 +26,7 @@
 	return opts
 }
 
-// servePlatform opens the listeners that only the platform calls.
+// servePlatform opens the listeners that only the platform connects to.
 func servePlatform(a *agent.Agent, p settings.Platform, logger zerolog.Logger) error {
 	if !p.Enabled() {
 		return nil
@@ -39,10 +39,10 @@
 	if err == nil {
 		err = a.Listen("platform.metrics", p.Metrics, metricsText(a.Metrics()))
 	}
-	return errors.Wrap(err, "serve the platform")
+	return errors.Wrap(err, "open platform listeners")
 }
 
-// metricsText serves a registry as text, one metric after the other.
+// metricsText serves the metrics of a registry as text, one after the other.
 func metricsText(r metrics.Registry) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
--- a/cmd/comfreyd/reload.go
+++ b/cmd/comfreyd/reload.go
@@ -14,22 +14,22 @@
 	"github.com/comfreygate/comfreygate/internal/settings"
 )
 
-// settingsPoll is how often the settings file is looked at: it may change
-// without a signal, and a change is to be seen within seconds.
-const settingsPoll = time.Second
+// settingsPollInterval is the interval at which the settings file is read: it may change
+// without a signal, and a change must be noticed within seconds.
+const settingsPollInterval = time.Second
 
-// watchSettings takes the settings file in again whenever SIGHUP comes or its
-// content has changed, until ctx ends. What cannot change while the daemon
-// runs is logged as such; bad settings change nothing.
+// watchSettings reloads the settings file on SIGHUP and whenever its content has changed,
+// until ctx ends. It logs whether a change needs a restart. Invalid settings change
+// nothing.
 func watchSettings(ctx context.Context, path string, a *agent.Agent, logger zerolog.Logger) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	ticker := time.NewTicker(settingsPoll)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	held, err := os.ReadFile(path)
+	current, err := os.ReadFile(path)
 	if err != nil {
-		logger.Warn().Str("step", "reload").Str("peer", path).Err(err).Msg("settings cannot be watched")
+		logger.Warn().Str("step", "reload").Str("peer", path).Err(err).Msg("settings file not readable, reloading it once it is")
 	}
 	for {
 		signalled := false
@@ -42,13 +42,13 @@
 		}
 		text, err := os.ReadFile(path)
 		if err != nil {
-			logger.Warn().Str("step", "reload").Str("peer", path).Err(err).Msg("settings not read")
+			logger.Warn().Str("step", "reload").Str("peer", path).Err(err).Msg("settings file not readable, keeping the current settings")
 			continue
 		}
-		if !signalled && bytes.Equal(text, held) {
+		if !signalled && bytes.Equal(text, current) {
 			continue
 		}
-		held = text
+		current = text
 		reload(text, path, a, logger)
 	}
 }
@@ -56,9 +56,9 @@
 func reload(text []byte, path string, a *agent.Agent, logger zerolog.Logger) {
 	s, err := settings.Parse(text)
 	if err != nil {
-		logger.Error().Str("step", "reload").Str("peer", path).Err(err).Msg("settings refused, the ones held stay")
+		logger.Error().Str("step", "reload").Str("peer", path).Err(err).Msg("new settings are invalid, keeping the current settings")
 		return
 	}
 	needsRestart := a.Reload(s)
-	logger.Info().Str("step", "reload").Str("peer", path).Bool("needs_restart", needsRestart).Msg("settings taken in")
+	logger.Info().Str("step", "reload").Str("peer", path).Bool("needs_restart", needsRestart).Msg("settings reloaded")
 }
--- a/cmd/comfreyd/run.go
+++ b/cmd/comfreyd/run.go
@@ -20,20 +20,20 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// tokenVariable is the environment variable that holds the operators' token.
+// tokenVariable is the environment variable with the operators' token.
 const tokenVariable = "COMFREY_TOKEN"
 
-// memoryLimit is where the collector works harder than the setting says, in
-// bytes: below the 128 MB that a daemon may take for control.
-const memoryLimit = 100 << 20
+// memoryLimitBytes is the memory use from which the garbage collector works harder than
+// gc_percent demands. It is below the 128 MB that a daemon may use for control.
+const memoryLimitBytes = 100 << 20
 
-// tuneMemory sets the collector's targets, unless the environment does.
+// tuneMemory sets the garbage collector's targets unless the environment sets them.
 func tuneMemory(gcPercent int) {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
 	}
 	if os.Getenv("GOMEMLIMIT") == "" {
-		debug.SetMemoryLimit(memoryLimit)
+		debug.SetMemoryLimit(memoryLimitBytes)
 	}
 }
 
@@ -58,8 +58,8 @@
 
 type runCmd struct{ settingsFlag }
 
-// Run runs the daemon until it is told to stop: by one SIGTERM or SIGINT
-// gracefully, by a second at once.
+// Run runs the daemon until it is stopped: gracefully by the first SIGTERM or SIGINT, at
+// once by the second.
 func (c *runCmd) Run() error {
 	s, err := settings.Load(c.Settings)
 	if err != nil {
@@ -76,10 +76,10 @@
 	log := store.NewClient(strings.TrimSuffix(s.Log.URL, "/"), time.Duration(s.Log.Timeout), s.Listen.SourceAddr())
 	a, err := startAgent(s, log, logger, token)
 	if err != nil {
-		logger.Error().Str("step", "start").Err(err).Msg("not started")
+		logger.Error().Str("step", "start").Err(err).Msg("daemon not started")
 		return err
 	}
-	out.register(a.Metrics())
+	out.registerMetrics(a.Metrics())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go watchSettings(ctx, c.Settings, a, logger)
@@ -105,7 +105,8 @@
 	return a, nil
 }
 
-// stopOnSignal waits for a signal and stops the agents.
+// stopOnSignal waits for a signal and shuts the agents down. A second signal cuts the
+// shutdown short.
 func stopOnSignal(agents []*agent.Agent) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -123,13 +124,13 @@
 	var failed error
 	for range agents {
 		if err := <-failures; err != nil {
-			failed = &exit.Error{Code: exitCut, Err: err}
+			failed = &exit.Error{Code: exitCallsAborted, Err: err}
 		}
 	}
 	return failed
 }
 
-// operatorToken returns the token that operators must show. Without one the
+// operatorToken returns the token that operators must present. Without a token, the
 // administration API may only listen on a loopback address.
 func operatorToken(s settings.Settings) (string, error) {
 	token := os.Getenv(tokenVariable)
