--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -41,7 +41,7 @@
 		if token == "" && r.Header.Get("Authorization") == "" {
 			r.Header.Set("Authorization", "Bearer none")
 		}
-		if !allowed(r.Header.Get("Authorization"), token) {
+		if !authorized(r.Header.Get("Authorization"), token) {
 			w.Header().Set("WWW-Authenticate", "Bearer")
 			w.Header().Set("Content-Type", "application/json")
 			w.WriteHeader(http.StatusUnauthorized)
@@ -52,7 +52,7 @@
 	})
 }
 
-func allowed(header, token string) bool {
+func authorized(header, token string) bool {
 	return token == "" || subtle.ConstantTimeCompare([]byte(header), []byte("Bearer "+token)) == 1
 }
 
@@ -62,7 +62,7 @@
 
 // HandleBearer implements api.SecurityHandler.
 func (s security) HandleBearer(ctx context.Context, _ api.OperationName, t api.Bearer) (context.Context, error) {
-	if !allowed("Bearer "+t.Token, s.token) {
+	if !authorized("Bearer "+t.Token, s.token) {
 		return ctx, errors.New("wrong token")
 	}
 	return ctx, nil
@@ -73,7 +73,7 @@
 // NewError implements api.Handler.
 func (h *handler) NewError(_ context.Context, err error) *api.ErrorStatusCode {
 	out := &api.ErrorStatusCode{StatusCode: ogenerrors.ErrorCode(err), Response: api.Error{Error: err.Error()}}
-	var bad *badInput
+	var bad *badRequestError
 	if errors.As(err, &bad) {
 		out.StatusCode = http.StatusBadRequest
 		out.Response.Step = api.NewOptString(bad.step)
@@ -84,22 +84,22 @@
 	return out
 }
 
-// badInput is a request that cannot be understood. Nothing was changed.
-type badInput struct {
+// badRequestError is a request that cannot be understood. Nothing was changed.
+type badRequestError struct {
 	step   string
 	column int
 	err    error
 }
 
 // Error returns the reason.
-func (b *badInput) Error() string { return b.err.Error() }
+func (b *badRequestError) Error() string { return b.err.Error() }
 
 // RunCommand implements api.Handler.
 func (h *handler) RunCommand(ctx context.Context, req *api.CommandRequest) (*api.Answer, error) {
 	st, err := lang.Parse(req.Text)
 	var le *lang.Error
 	if errors.As(err, &le) {
-		return nil, &badInput{step: "parse", column: le.Column, err: errors.Errorf("line %d, column %d: %s", le.Line, le.Column, le.Reason)}
+		return nil, &badRequestError{step: "parse", column: le.Column, err: errors.Errorf("line %d, column %d: %s", le.Line, le.Column, le.Reason)}
 	}
 	switch {
 	case st.Query != nil:
@@ -109,39 +109,39 @@
 	case st.Clear != "":
 		return h.clearSuspect(st.Clear)
 	case st.Rollout != nil:
-		return h.outcomeOf("rollout", h.agent.OrderRollout(st.Rollout.Service, st.Rollout.Target, st.Rollout.Within)), nil
+		return h.rolloutAnswer("rollout", h.agent.OrderRollout(st.Rollout.Service, st.Rollout.Target, st.Rollout.Within)), nil
 	case st.Abort != "":
-		return h.outcomeOf("abort-rollout", h.agent.AbortRollout(st.Abort)), nil
+		return h.rolloutAnswer("abort-rollout", h.agent.AbortRollout(st.Abort)), nil
 	}
 	cmd := config.Command{
 		ID: req.CommandID.Or(""), Author: req.Author.Or(""), IfVersion: st.IfVersion, Changes: st.Changes,
 	}
-	return h.command(ctx, cmd, st.Force, st.DryRun)
+	return h.submit(ctx, cmd, st.Force, st.DryRun)
 }
 
 // PublishChangeSet implements api.Handler.
 func (h *handler) PublishChangeSet(ctx context.Context, req *api.ChangeSetRequest) (*api.Answer, error) {
 	changes, err := lang.ParseYAML([]byte(req.Yaml))
 	if err != nil {
-		return nil, &badInput{step: "parse", err: err}
+		return nil, &badRequestError{step: "parse", err: err}
 	}
 	cmd := config.Command{ID: req.CommandID.Or(""), Author: req.Author.Or(""), Changes: changes}
 	if v, ok := req.IfVersion.Get(); ok {
 		version := uint64(v)
 		cmd.IfVersion = &version
 	}
-	return h.command(ctx, cmd, req.Force.Or(false), req.DryRun.Or(false))
+	return h.submit(ctx, cmd, req.Force.Or(false), req.DryRun.Or(false))
 }
 
-// command submits a change set. Unless forced, it is made against the version
+// submit submits a change set. Unless forced, it is made against the version
 // held here: what the operator was last shown.
-func (h *handler) command(ctx context.Context, cmd config.Command, force, dryRun bool) (*api.Answer, error) {
-	held := h.agent.Held()
+func (h *handler) submit(ctx context.Context, cmd config.Command, force, dryRun bool) (*api.Answer, error) {
+	current := h.agent.Held()
 	if cmd.IfVersion == nil && !force {
-		cmd.IfVersion = &held.Version
+		cmd.IfVersion = &current.Version
 	}
 	if dryRun {
-		return dryRunAnswer(held, cmd), nil
+		return dryRunAnswer(current, cmd), nil
 	}
 	o := h.agent.Submit(ctx, cmd)
 	return outcomeAnswer(h.agent.Held().Version, o), nil
@@ -149,17 +149,17 @@
 
 const dryRunID = "dry-run"
 
-func dryRunAnswer(held *config.State, cmd config.Command) *api.Answer {
+func dryRunAnswer(current *config.State, cmd config.Command) *api.Answer {
 	cmd.ID = dryRunID
 	out := api.Outcome{CommandID: cmd.ID, Status: api.OutcomeStatusValid}
-	if err := config.Check(held, cmd); err != nil {
+	if err := config.Check(current, cmd); err != nil {
 		out.Status = api.OutcomeStatusRejected
 		out.Reason = api.NewOptString(err.Error())
 	}
-	return &api.Answer{Kind: api.AnswerKindOutcome, Version: int64(held.Version), Outcome: api.NewOptOutcome(out)}
+	return &api.Answer{Kind: api.AnswerKindOutcome, Version: int64(current.Version), Outcome: api.NewOptOutcome(out)}
 }
 
-func outcomeAnswer(held uint64, o config.Outcome) *api.Answer {
+func outcomeAnswer(version uint64, o config.Outcome) *api.Answer {
 	out := api.Outcome{CommandID: o.ID, Status: api.OutcomeStatus(o.Status)}
 	if o.Version > 0 {
 		out.Version = api.NewOptInt64(int64(o.Version))
@@ -170,15 +170,15 @@
 	if o.BeatenBy > 0 {
 		out.BeatenBy = api.NewOptInt64(int64(o.BeatenBy))
 	}
-	return &api.Answer{Kind: api.AnswerKindOutcome, Version: int64(held), Outcome: api.NewOptOutcome(out)}
+	return &api.Answer{Kind: api.AnswerKindOutcome, Version: int64(version), Outcome: api.NewOptOutcome(out)}
 }
 
 func (h *handler) reseed(ctx context.Context) (*api.Answer, error) {
-	version, refusal := h.agent.Reseed(ctx)
+	version, reason := h.agent.Reseed(ctx)
 	out := api.Outcome{CommandID: "reseed", Status: api.OutcomeStatusAccepted, Version: api.NewOptInt64(int64(version))}
-	if refusal != "" {
+	if reason != "" {
 		out.Status = api.OutcomeStatusRejected
-		out.Reason = api.NewOptString(refusal)
+		out.Reason = api.NewOptString(reason)
 	}
 	return &api.Answer{Kind: api.AnswerKindOutcome, Version: int64(version), Outcome: api.NewOptOutcome(out)}, nil
 }
@@ -187,7 +187,7 @@
 func (h *handler) clearSuspect(text string) (*api.Answer, error) {
 	d, err := suspect.ParseDigest(text)
 	if err != nil {
-		return nil, &badInput{step: "clear suspect", err: errors.Errorf("%q is no digest: show suspects", text)}
+		return nil, &badRequestError{step: "clear suspect", err: errors.Errorf("%q is no digest: show suspects", text)}
 	}
 	out := api.Outcome{CommandID: "clear-suspect", Status: api.OutcomeStatusAccepted}
 	if !h.agent.ClearSuspect(d) {
--- a/internal/admin/query.go
+++ b/internal/admin/query.go
@@ -28,8 +28,8 @@
 
 func (r *result) add(cells ...string) { r.rows = append(r.rows, cells) }
 
-// source holds everything a query may ask about, at one moment.
-type source struct {
+// snapshot holds everything a query may ask about, at one moment.
+type snapshot struct {
 	world    *table.World
 	now      time.Time
 	loads    map[string]outcome.Load
@@ -37,7 +37,7 @@
 }
 
 // tables maps the name of a table to what fills it.
-var tables = map[string]func(source) result{
+var tables = map[string]func(snapshot) result{
 	"daemons":  daemons,
 	"domains":  domainsTable,
 	"upstream": upstreams, "upstreams": upstreams,
@@ -59,9 +59,9 @@
 	fill := tables[q.Table]
 	if fill == nil {
 		names := slices.Sorted(maps.Keys(tables))
-		return nil, &badInput{step: "query", err: errors.Errorf("no table %q: there are %s", q.Table, strings.Join(names, ", "))}
+		return nil, &badRequestError{step: "query", err: errors.Errorf("no table %q: there are %s", q.Table, strings.Join(names, ", "))}
 	}
-	src := source{now: time.Now(), loads: h.agent.Loads(), unknowns: h.agent.Unknowns()}
+	src := snapshot{now: time.Now(), loads: h.agent.Loads(), unknowns: h.agent.Unknowns()}
 	var res result
 	var version uint64
 	h.agent.Inspect(func(w *table.World) {
@@ -71,7 +71,7 @@
 	})
 	rows, err := filter(res, q)
 	if err != nil {
-		return nil, &badInput{step: "query", err: err}
+		return nil, &badRequestError{step: "query", err: err}
 	}
 	return &api.Answer{Kind: api.AnswerKindTable, Version: int64(version), Columns: res.columns, Rows: rows}, nil
 }
@@ -95,7 +95,7 @@
 }
 
 // eachMember calls f for this daemon and every other it knows.
-func (s source) eachMember(f func(m wire.Member, state string, age time.Duration)) {
+func (s snapshot) eachMember(f func(m wire.Member, state string, age time.Duration)) {
 	f(s.world.Self, memberState(s.world.Self.Leaving, false), 0)
 	for _, id := range slices.Sorted(maps.Keys(s.world.Members)) {
 		row := s.world.Members[id]
@@ -113,20 +113,20 @@
 	return "live"
 }
 
-func daemons(s source) result {
+func daemons(s snapshot) result {
 	r := result{columns: []string{"vm", "domain", "state", "version", "current", "age", "admin"}}
 	s.eachMember(func(m wire.Member, state string, age time.Duration) {
 		current := "yes"
 		if m.Beat.Applied < s.world.Config.State.Version {
 			current = "no"
 		}
-		r.add(m.ID, m.Domain, state, number(m.Beat.Applied), current, age.Truncate(time.Second).String(), m.Admin)
+		r.add(m.ID, m.Domain, state, formatVersion(m.Beat.Applied), current, age.Truncate(time.Second).String(), m.Admin)
 	})
 	return r
 }
 
-func domainsTable(s source) result {
-	type count struct{ live, current, lapsed int }
+func domainsTable(s snapshot) result {
+	type count struct{ live, current, gone int }
 	counts := map[string]*count{}
 	s.eachMember(func(m wire.Member, state string, _ time.Duration) {
 		c := counts[m.Domain]
@@ -136,7 +136,7 @@
 		}
 		switch {
 		case state != "live":
-			c.lapsed++
+			c.gone++
 		case m.Beat.Applied >= s.world.Config.State.Version:
 			c.live++
 			c.current++
@@ -147,14 +147,14 @@
 	r := result{columns: []string{"domain", "live", "current", "gone"}}
 	for _, d := range slices.Sorted(maps.Keys(counts)) {
 		c := counts[d]
-		r.add(d, strconv.Itoa(c.live), strconv.Itoa(c.current), strconv.Itoa(c.lapsed))
+		r.add(d, strconv.Itoa(c.live), strconv.Itoa(c.current), strconv.Itoa(c.gone))
 	}
 	return r
 }
 
 // upstreams shows every upstream known, and the load of those on this VM, where
 // it is counted, and of those that calls from here have reached lately.
-func upstreams(s source) result {
+func upstreams(s snapshot) result {
 	r := result{columns: []string{"upstream", "service", "version", "domain", "state", "slots", "in-flight", "queued", "service-time"}}
 	s.eachMember(func(m wire.Member, state string, _ time.Duration) {
 		for _, u := range m.Upstreams {
@@ -162,37 +162,37 @@
 			if u.Draining {
 				st = "draining"
 			}
-			inFlight, queued, took := "-", "-", "-"
+			inFlight, queued, serviceTime := "-", "-", "-"
 			if l, ok := s.loads[u.ID]; ok {
-				inFlight, queued, took = strconv.Itoa(l.InFlight), strconv.Itoa(l.Queued), l.Service.String()
+				inFlight, queued, serviceTime = strconv.Itoa(l.InFlight), strconv.Itoa(l.Queued), l.Service.String()
 			}
-			r.add(u.ID, u.Service, cmp.Or(u.Version, "-"), m.Domain, st, strconv.Itoa(u.Slots), inFlight, queued, took)
+			r.add(u.ID, u.Service, cmp.Or(u.Version, "-"), m.Domain, st, strconv.Itoa(u.Slots), inFlight, queued, serviceTime)
 		}
 	})
 	return r
 }
 
-func (s source) revision(kind config.Kind, name string) string {
-	return number(s.world.Config.State.Content.Revisions[config.Ref{Kind: kind, Name: name}.String()])
+func (s snapshot) revision(kind config.Kind, name string) string {
+	return formatVersion(s.world.Config.State.Content.Revisions[config.Ref{Kind: kind, Name: name}.String()])
 }
 
 // inForce says on how many live daemons an entity's last change is in force.
-func (s source) inForce(kind config.Kind, name string) string {
+func (s snapshot) inForce(kind config.Kind, name string) string {
 	rev := s.world.Config.State.Content.Revisions[config.Ref{Kind: kind, Name: name}.String()]
-	live, have := 0, 0
+	live, applied := 0, 0
 	s.eachMember(func(m wire.Member, state string, _ time.Duration) {
 		if state != "live" {
 			return
 		}
 		live++
 		if m.Beat.Applied >= rev {
-			have++
+			applied++
 		}
 	})
-	return fmt.Sprintf("%d of %d", have, live)
+	return fmt.Sprintf("%d of %d", applied, live)
 }
 
-func services(s source) result {
+func services(s snapshot) result {
 	r := result{columns: []string{"service", "version", "in-force", "ramp", "upstreams"}}
 	c := s.world.Config.State.Content
 	counts := map[string]int{}
@@ -210,7 +210,7 @@
 	return r
 }
 
-func policies(s source) result {
+func policies(s snapshot) result {
 	r := result{columns: []string{"policy", "version", "in-force", "urgency", "timeout", "retries", "repeatable"}}
 	c := s.world.Config.State.Content
 	for _, name := range slices.Sorted(maps.Keys(c.Policies)) {
@@ -221,26 +221,26 @@
 	return r
 }
 
-func callers(s source) result {
+func callers(s snapshot) result {
 	r := result{columns: []string{"caller", "version", "in-force", "key", "routes"}}
 	c := s.world.Config.State.Content
 	for _, name := range slices.Sorted(maps.Keys(c.Callers)) {
-		var reach []string
+		var routeNames []string
 		for _, route := range slices.Sorted(maps.Keys(c.Routes)) {
 			if slices.Contains(c.Routes[route].Callers, name) {
-				reach = append(reach, route)
+				routeNames = append(routeNames, route)
 			}
 		}
 		key := "none"
 		if c.Callers[name].KeyHash != "" {
 			key = "set"
 		}
-		r.add(name, s.revision(config.KindCaller, name), s.inForce(config.KindCaller, name), key, strings.Join(reach, ","))
+		r.add(name, s.revision(config.KindCaller, name), s.inForce(config.KindCaller, name), key, strings.Join(routeNames, ","))
 	}
 	return r
 }
 
-func routes(s source) result {
+func routes(s snapshot) result {
 	r := result{columns: []string{"route", "version", "in-force", "path", "service", "policy", "callers"}}
 	c := s.world.Config.State.Content
 	for _, name := range slices.Sorted(maps.Keys(c.Routes)) {
@@ -252,7 +252,7 @@
 }
 
 // workspaces shows how many keys each has, and no key, nor what stands for it.
-func workspaces(s source) result {
+func workspaces(s snapshot) result {
 	r := result{columns: []string{"workspace", "version", "in-force", "keys", "urgency", "rate", "burst"}}
 	c := s.world.Config.State.Content
 	for _, name := range slices.Sorted(maps.Keys(c.Workspaces)) {
@@ -262,23 +262,23 @@
 			urgency = ws.Urgency.String()
 		}
 		r.add(name, s.revision(config.KindWorkspace, name), s.inForce(config.KindWorkspace, name), strconv.Itoa(len(ws.KeyHashes)),
-			urgency, calls(ws.Rate), calls(ws.Burst))
+			urgency, formatCalls(ws.Rate), formatCalls(ws.Burst))
 	}
 	return r
 }
 
-// calls writes a number of calls, or a dash for no limit.
-func calls(n float64) string {
+// formatCalls writes a number of formatCalls, or a dash for no limit.
+func formatCalls(n float64) string {
 	if n == 0 {
 		return "-"
 	}
 	return strconv.FormatFloat(n, 'f', -1, 64)
 }
 
-func history(s source) result {
+func history(s snapshot) result {
 	r := result{columns: []string{"command", "status", "version", "author", "changes", "reason", "beaten-by"}}
 	for _, o := range s.world.Config.State.Outcomes {
-		r.add(o.ID, string(o.Status), number(o.Version), o.Author, strings.Join(o.Refs, "; "), o.Reason, number(o.BeatenBy))
+		r.add(o.ID, string(o.Status), formatVersion(o.Version), o.Author, strings.Join(o.Refs, "; "), o.Reason, formatVersion(o.BeatenBy))
 	}
 	for _, u := range s.unknowns {
 		r.add(u.ID, string(config.StatusUnknown), "-", u.Author, "", u.Reason, "-")
@@ -286,13 +286,13 @@
 	return r
 }
 
-func rejected(s source) result {
+func rejected(s snapshot) result {
 	r := history(s)
 	r.rows = slices.DeleteFunc(r.rows, func(row []string) bool { return row[1] != string(config.Rejected) })
 	return r
 }
 
-func unknowns(s source) result {
+func unknowns(s snapshot) result {
 	r := result{columns: []string{"command", "author", "age", "reason"}}
 	for _, u := range s.unknowns {
 		r.add(u.ID, u.Author, s.now.Sub(u.At).Truncate(time.Second).String(), u.Reason)
@@ -300,7 +300,7 @@
 	return r
 }
 
-func alarms(s source) result {
+func alarms(s snapshot) result {
 	r := result{columns: []string{"alarm", "detail"}}
 	for _, name := range slices.Sorted(maps.Keys(s.world.Alarms)) {
 		r.add(name, s.world.Alarms[name])
@@ -308,7 +308,7 @@
 	return r
 }
 
-func suspects(s source) result {
+func suspects(s snapshot) result {
 	r := result{columns: []string{"digest", "state", "ends", "round", "age"}}
 	for _, rec := range s.world.Suspects.Records() {
 		state := "cleared"
@@ -324,8 +324,8 @@
 	return r
 }
 
-// number writes a version, or a dash for none.
-func number(n uint64) string {
+// formatVersion writes a version, or a dash for none.
+func formatVersion(n uint64) string {
 	if n == 0 {
 		return "-"
 	}
--- a/internal/admin/rollouts.go
+++ b/internal/admin/rollouts.go
@@ -17,20 +17,20 @@
 
 // rollouts shows the last roll-out of each service, and what was seen of it where it is
 // judged.
-func rollouts(s source) result {
+func rollouts(s snapshot) result {
 	r := result{columns: []string{"service", "target", "order", "phase", "age", "of", "share", "new", "others", "why"}}
 	for _, service := range slices.Sorted(maps.Keys(s.world.Rollouts)) {
 		ro := s.world.Rollouts[service]
 		age := s.now.Sub(ro.Since)
 		tally := ro.Tally()
-		r.add(service, ro.Target, number(ro.ID), ro.Phase.String(), age.Truncate(time.Second).String(), ro.Duration.String(),
-			s.share(ro.Record, ro.Stop, age), counted(tally.Sum(true)), counted(tally.Sum(false)), cmp.Or(ro.Why, ro.Stop, "-"))
+		r.add(service, ro.Target, formatVersion(ro.ID), ro.Phase.String(), age.Truncate(time.Second).String(), ro.Duration.String(),
+			s.share(ro.Record, ro.Stop, age), formatCount(tally.Sum(true)), formatCount(tally.Sum(false)), cmp.Or(ro.Why, ro.Stop, "-"))
 	}
 	return r
 }
 
 // share says what part of the calls the new version may get now.
-func (s source) share(r rollout.Record, stop string, age time.Duration) string {
+func (s snapshot) share(r rollout.Record, stop string, age time.Duration) string {
 	switch {
 	case r.Phase == rollout.Reverted || stop != "":
 		return "0%"
@@ -39,16 +39,16 @@
 	}
 	plan := s.world.Plan(r.Duration)
 	target, others := s.world.UpstreamsOf(r.Service, r.Target)
-	tried := plan.AtOnce(len(plan.Choose(target, others)), others)
-	return fmt.Sprintf("%.1f%%", 100*plan.Share(age, tried, others))
+	canaries := plan.AtOnce(len(plan.Choose(target, others)), others)
+	return fmt.Sprintf("%.1f%%", 100*plan.Share(age, canaries, others))
 }
 
-func counted(c rollout.Count) string {
+func formatCount(c rollout.Count) string {
 	return fmt.Sprintf("%d answers, %d failed, %d of %d slow", c.N, c.Failed, c.Slow, c.Timed)
 }
 
-// outcomeOf says what became of an order for a roll-out.
-func (h *handler) outcomeOf(id string, err error) *api.Answer {
+// rolloutAnswer says what became of an order for a roll-out.
+func (h *handler) rolloutAnswer(id string, err error) *api.Answer {
 	out := api.Outcome{CommandID: id, Status: api.OutcomeStatusAccepted}
 	var refused *agent.RefusedError
 	switch {
--- a/internal/dev/upstream.go
+++ b/internal/dev/upstream.go
@@ -23,10 +23,10 @@
 }
 
 const (
-	// badSuffix ends the names of versions that are bad.
-	badSuffix = "-bad"
-	// badEvery says which of their answers are failures.
-	badEvery = 3
+	// faultySuffix ends the names of versions that are bad.
+	faultySuffix = "-bad"
+	// failureInterval says which of their answers are failures.
+	failureInterval = 3
 )
 
 // StartUpstream serves an example upstream beside a VM's daemon, on a free port. Its
@@ -37,13 +37,13 @@
 		return nil, errors.Wrapf(err, "upstream %s", vm)
 	}
 	u := &Upstream{ID: vm + "-" + version, Service: service, Version: version, ln: ln}
-	u.srv = &http.Server{Handler: http.HandlerFunc(u.answer)}
+	u.srv = &http.Server{Handler: http.HandlerFunc(u.serveCall)}
 	go u.srv.Serve(ln)
 	return u, nil
 }
 
-func (u *Upstream) answer(w http.ResponseWriter, r *http.Request) {
-	if strings.HasSuffix(u.Version, badSuffix) && u.calls.Add(1)%badEvery == 0 {
+func (u *Upstream) serveCall(w http.ResponseWriter, r *http.Request) {
+	if strings.HasSuffix(u.Version, faultySuffix) && u.calls.Add(1)%failureInterval == 0 {
 		http.Error(w, "a bad version", http.StatusInternalServerError)
 		return
 	}
--- a/internal/devlog/devlog.go
+++ b/internal/devlog/devlog.go
@@ -17,11 +17,11 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// maxCallBytes bounds the records of one append.
-const maxCallBytes = 8 << 20
+// maxAppendBytes bounds the records of one append.
+const maxAppendBytes = 8 << 20
 
-// maxEntries bounds the entries of one read.
-const maxEntries = 1000
+// maxReadEntries bounds the entries of one read.
+const maxReadEntries = 1000
 
 // Faults makes the log fail on purpose.
 type Faults struct {
@@ -41,19 +41,19 @@
 	Bytes   int64 `json:"bytes"`
 }
 
-type stream struct {
+type topicRecords struct {
 	first   uint64
 	entries []store.Entry
 	// newest holds the newest record of each key, also after it expired.
 	newest map[string]store.Entry
 }
 
-func (s *stream) end() uint64 { return s.first + uint64(len(s.entries)) }
+func (s *topicRecords) end() uint64 { return s.first + uint64(len(s.entries)) }
 
 // Log is the stand-in. The zero value is not usable: see New.
 type Log struct {
 	mu      sync.Mutex
-	streams map[string]*stream
+	topics map[string]*topicRecords
 	faults  Faults
 	counts  Counts
 	changed chan struct{}
@@ -63,15 +63,15 @@
 
 // New returns an empty log.
 func New() *Log {
-	return &Log{streams: map[string]*stream{}, changed: make(chan struct{})}
+	return &Log{topics: map[string]*topicRecords{}, changed: make(chan struct{})}
 }
 
 type errDown struct{}
 
 func (errDown) Error() string { return "log is down" }
 
-// errLost is the failure of an append that took effect.
-var errLost = errors.New("the answer is lost")
+// errAnswerLost is the failure of an append that took effect.
+var errAnswerLost = errors.New("the answer is lost")
 
 // Append implements store.Log.
 func (l *Log) Append(ctx context.Context, topic string, data []byte) (uint64, error) {
@@ -92,13 +92,13 @@
 
 // Newest implements store.Log.
 func (l *Log) Newest(ctx context.Context, topic string) (store.Newest, error) {
-	if err := l.enter(ctx); err != nil {
+	if err := l.applyFaults(ctx); err != nil {
 		return store.Newest{}, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Reads++
-	s := l.stream(topic)
+	s := l.topic(topic)
 	out := store.Newest{End: s.end()}
 	for _, key := range slices.Sorted(maps.Keys(s.newest)) {
 		out.Entries = append(out.Entries, s.newest[key])
@@ -106,19 +106,19 @@
 	return out, nil
 }
 
-func (l *Log) append(ctx context.Context, name string, e store.Entry) (uint64, error) {
-	return l.appendAt(ctx, name, e, nil)
+func (l *Log) append(ctx context.Context, topic string, e store.Entry) (uint64, error) {
+	return l.appendAt(ctx, topic, e, nil)
 }
 
 // appendAt appends if the stream ends at that offset, or anywhere if at is nil.
-func (l *Log) appendAt(ctx context.Context, name string, e store.Entry, at *uint64) (uint64, error) {
-	if err := l.enter(ctx); err != nil {
+func (l *Log) appendAt(ctx context.Context, topic string, e store.Entry, at *uint64) (uint64, error) {
+	if err := l.applyFaults(ctx); err != nil {
 		return 0, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Appends++
-	s := l.stream(name)
+	s := l.topic(topic)
 	offset := s.end()
 	if at != nil && *at != offset {
 		return 0, &store.StatusError{Status: http.StatusPreconditionFailed, Body: fmt.Sprintf(`{"end":%d}`, offset)}
@@ -135,14 +135,14 @@
 	l.changed = make(chan struct{})
 	if l.faults.LoseAnswers > 0 {
 		l.faults.LoseAnswers--
-		return 0, errLost
+		return 0, errAnswerLost
 	}
 	return offset, nil
 }
 
 // Read implements store.Log.
 func (l *Log) Read(ctx context.Context, q store.Query) (store.Batch, error) {
-	if err := l.enter(ctx); err != nil {
+	if err := l.applyFaults(ctx); err != nil {
 		return store.Batch{}, err
 	}
 	l.mu.Lock()
@@ -151,7 +151,7 @@
 	timer := time.NewTimer(q.Wait)
 	defer timer.Stop()
 	for {
-		batch, changed, err := l.peek(q.Topic, q.From)
+		batch, changed, err := l.readAvailable(q.Topic, q.From)
 		if err != nil || len(batch.Entries) > 0 || q.From > batch.End {
 			return batch, err
 		}
@@ -165,18 +165,18 @@
 	}
 }
 
-func (l *Log) peek(name string, from uint64) (store.Batch, chan struct{}, error) {
+func (l *Log) readAvailable(topic string, from uint64) (store.Batch, chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.faults.Down {
 		return store.Batch{}, nil, errDown{}
 	}
-	s := l.stream(name)
+	s := l.topic(topic)
 	batch := store.Batch{First: s.first, End: s.end()}
 	from = max(from, s.first)
 	if from < s.end() {
 		batch.Entries = s.entries[from-s.first:]
-		batch.Entries = batch.Entries[:min(len(batch.Entries), maxEntries)]
+		batch.Entries = batch.Entries[:min(len(batch.Entries), maxReadEntries)]
 	}
 	for _, e := range batch.Entries {
 		l.counts.Bytes += int64(len(e.Data))
@@ -184,8 +184,8 @@
 	return batch, l.changed, nil
 }
 
-// enter applies the faults that hit every operation.
-func (l *Log) enter(ctx context.Context) error {
+// applyFaults applies the faults that hit every operation.
+func (l *Log) applyFaults(ctx context.Context) error {
 	l.mu.Lock()
 	f := l.faults
 	l.mu.Unlock()
@@ -204,11 +204,11 @@
 	return nil
 }
 
-func (l *Log) stream(name string) *stream {
-	s := l.streams[name]
+func (l *Log) topic(topic string) *topicRecords {
+	s := l.topics[topic]
 	if s == nil {
-		s = &stream{newest: map[string]store.Entry{}}
-		l.streams[name] = s
+		s = &topicRecords{newest: map[string]store.Entry{}}
+		l.topics[topic] = s
 	}
 	return s
 }
@@ -223,10 +223,10 @@
 }
 
 // Expire forgets all but the last keep records of a stream, as retention does.
-func (l *Log) Expire(name string, keep int) {
+func (l *Log) Expire(topic string, keep int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.stream(name)
+	s := l.topic(topic)
 	drop := max(0, len(s.entries)-keep)
 	s.first += uint64(drop)
 	s.entries = append([]store.Entry(nil), s.entries[drop:]...)
@@ -236,7 +236,7 @@
 func (l *Log) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.streams = map[string]*stream{}
+	l.topics = map[string]*topicRecords{}
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
--- a/internal/devlog/http.go
+++ b/internal/devlog/http.go
@@ -27,7 +27,7 @@
 
 func (l *Log) serveAppend(w http.ResponseWriter, r *http.Request) {
 	topic := r.URL.Query().Get("topic")
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCallBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxAppendBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
@@ -51,7 +51,7 @@
 			http.Error(w, refused.Body, refused.Status)
 			return
 		}
-		if errors.Is(err, errLost) {
+		if errors.Is(err, errAnswerLost) {
 			panic(http.ErrAbortHandler) // done, and the answer is lost
 		}
 		if err != nil {
--- a/internal/lang/document.go
+++ b/internal/lang/document.go
@@ -73,28 +73,28 @@
 		if err != nil {
 			return nil, errors.Wrapf(err, "service %s: ramp", s.Name)
 		}
-		changes = append(changes, put(config.KindService, s.Name, config.Change{Service: &config.Service{Name: s.Name, Ramp: ramp}}))
+		changes = append(changes, putChange(config.KindService, s.Name, config.Change{Service: &config.Service{Name: s.Name, Ramp: ramp}}))
 	}
 	for _, p := range d.Policies {
 		policy, err := p.policy()
 		if err != nil {
 			return nil, errors.Wrapf(err, "policy %s", p.Name)
 		}
-		changes = append(changes, put(config.KindPolicy, p.Name, config.Change{Policy: policy}))
+		changes = append(changes, putChange(config.KindPolicy, p.Name, config.Change{Policy: policy}))
 	}
 	for _, c := range d.Callers {
-		changes = append(changes, put(config.KindCaller, c.Name, config.Change{Caller: &config.Caller{Name: c.Name, KeyHash: c.KeyHash}}))
+		changes = append(changes, putChange(config.KindCaller, c.Name, config.Change{Caller: &config.Caller{Name: c.Name, KeyHash: c.KeyHash}}))
 	}
 	for _, r := range d.Routes {
 		route := config.Route{Name: r.Name, Path: r.Path, Service: r.Service, Policy: r.Policy, Callers: r.Callers, Public: r.Public}
-		changes = append(changes, put(config.KindRoute, r.Name, config.Change{Route: &route}))
+		changes = append(changes, putChange(config.KindRoute, r.Name, config.Change{Route: &route}))
 	}
 	for _, w := range d.Workspaces {
 		ws, err := w.workspace()
 		if err != nil {
 			return nil, errors.Wrapf(err, "workspace %s", w.Name)
 		}
-		changes = append(changes, put(config.KindWorkspace, w.Name, config.Change{Workspace: ws}))
+		changes = append(changes, putChange(config.KindWorkspace, w.Name, config.Change{Workspace: ws}))
 	}
 	for _, w := range d.Withdraw {
 		ref := config.Ref{Kind: config.Kind(w.Kind), Name: w.Name}
@@ -103,7 +103,7 @@
 	return changes, nil
 }
 
-func put(kind config.Kind, name string, ch config.Change) config.Change {
+func putChange(kind config.Kind, name string, ch config.Change) config.Change {
 	ch.Verb = config.Put
 	ch.Ref = config.Ref{Kind: kind, Name: name}
 	return ch
--- a/internal/lang/statement.go
+++ b/internal/lang/statement.go
@@ -118,8 +118,8 @@
 	Changes []*changeAST `parser:"@@ ( ';' @@ )*"`
 }
 
-// number returns a version, or nil if none was given.
-func (v *valueAST) number() (*uint64, error) {
+// version returns a version, or nil if none was given.
+func (v *valueAST) version() (*uint64, error) {
 	if v == nil {
 		return nil, nil
 	}
@@ -170,7 +170,7 @@
 func Parse(text string) (*Statement, error) {
 	ast, err := parser.ParseString("", text)
 	if err != nil {
-		return nil, located(err)
+		return nil, withPosition(err)
 	}
 	switch {
 	case ast.Query != nil:
@@ -184,26 +184,26 @@
 	case ast.Rollout != nil:
 		order, err := ast.Rollout.order()
 		if err != nil {
-			return nil, located(err)
+			return nil, withPosition(err)
 		}
 		return &Statement{Rollout: order}, nil
 	}
-	version, err := ast.Command.Version.number()
+	version, err := ast.Command.Version.version()
 	if err != nil {
-		return nil, located(err)
+		return nil, withPosition(err)
 	}
 	s := &Statement{DryRun: ast.Command.DryRun, Force: ast.Command.Force, IfVersion: version}
 	for _, c := range ast.Command.Changes {
 		change, err := c.change()
 		if err != nil {
-			return nil, located(err)
+			return nil, withPosition(err)
 		}
 		s.Changes = append(s.Changes, change)
 	}
 	return s, nil
 }
 
-func located(err error) error {
+func withPosition(err error) error {
 	var pe participle.Error
 	if errors.As(err, &pe) {
 		return &Error{Line: pe.Position().Line, Column: pe.Position().Column, Reason: pe.Message()}
@@ -244,7 +244,7 @@
 
 func (c *changeAST) service() (*config.Service, error) {
 	s := &config.Service{Name: c.Entity.Ref.Name}
-	return s, c.each(setters{"ramp": duration(&s.Ramp)})
+	return s, c.setAttributes(setters{"ramp": duration(&s.Ramp)})
 }
 
 // DefaultRepeatable are the methods that may be repeated if a policy does not
@@ -256,10 +256,10 @@
 
 func (c *changeAST) policy() (*config.Policy, error) {
 	p := &config.Policy{Name: c.Entity.Ref.Name, Retries: DefaultRetries, Repeatable: DefaultRepeatable()}
-	err := c.each(setters{
+	err := c.setAttributes(setters{
 		"urgency":    urgency(&p.Urgency),
 		"timeout":    duration(&p.Timeout),
-		"retries":    number(&p.Retries),
+		"retries":    integer(&p.Retries),
 		"repeatable": methods(&p.Repeatable),
 	}, "urgency", "timeout")
 	return p, err
@@ -267,12 +267,12 @@
 
 func (c *changeAST) caller() (*config.Caller, error) {
 	out := &config.Caller{Name: c.Entity.Ref.Name}
-	return out, c.each(setters{"key": text(&out.KeyHash)})
+	return out, c.setAttributes(setters{"key": text(&out.KeyHash)})
 }
 
 func (c *changeAST) route() (*config.Route, error) {
 	r := &config.Route{Name: c.Entity.Ref.Name}
-	err := c.each(setters{
+	err := c.setAttributes(setters{
 		"path":    text(&r.Path),
 		"to":      text(&r.Service),
 		"policy":  text(&r.Policy),
@@ -284,11 +284,11 @@
 
 func (c *changeAST) workspace() (*config.Workspace, error) {
 	ws := &config.Workspace{Name: c.Entity.Ref.Name}
-	err := c.each(setters{
-		"keys":    sorted(&ws.KeyHashes),
+	err := c.setAttributes(setters{
+		"keys":    sortedList(&ws.KeyHashes),
 		"urgency": urgency(&ws.Urgency),
-		"rate":    amount(&ws.Rate),
-		"burst":   amount(&ws.Burst),
+		"rate":    float(&ws.Rate),
+		"burst":   float(&ws.Burst),
 	})
 	return ws, err
 }
@@ -298,19 +298,19 @@
 
 type setters map[string]setter
 
-// each stores the attributes and refuses unknown, doubled and missing ones.
-func (c *changeAST) each(set setters, required ...string) error {
+// setAttributes stores the attributes and refuses unknown, doubled and missing ones.
+func (c *changeAST) setAttributes(set setters, required ...string) error {
 	seen := map[string]bool{}
 	for _, a := range c.Entity.Attrs {
-		store := set[a.Name]
-		if store == nil {
+		setValue := set[a.Name]
+		if setValue == nil {
 			return participle.Errorf(a.Pos, "a %s has no %q", c.Entity.Ref.Kind, a.Name)
 		}
 		if seen[a.Name] {
 			return participle.Errorf(a.Pos, "%q is given twice", a.Name)
 		}
 		seen[a.Name] = true
-		if err := store(a.Values); err != nil {
+		if err := setValue(a.Values); err != nil {
 			return participle.Errorf(a.Pos, "%s: %v", a.Name, err)
 		}
 	}
@@ -322,7 +322,7 @@
 	return nil
 }
 
-func single(values []string) (string, error) {
+func singleValue(values []string) (string, error) {
 	if len(values) != 1 {
 		return "", errors.New("takes one value")
 	}
@@ -331,7 +331,7 @@
 
 func text(dst *string) setter {
 	return func(values []string) (err error) {
-		*dst, err = single(values)
+		*dst, err = singleValue(values)
 		return err
 	}
 }
@@ -343,8 +343,8 @@
 	}
 }
 
-// sorted stores a list in order.
-func sorted(dst *[]string) setter {
+// sortedList stores a list in order.
+func sortedList(dst *[]string) setter {
 	return func(values []string) error {
 		*dst = slices.Sorted(slices.Values(values))
 		return nil
@@ -353,7 +353,7 @@
 
 func yesNo(dst *bool) setter {
 	return func(values []string) error {
-		v, err := single(values)
+		v, err := singleValue(values)
 		if err == nil && v != "yes" && v != "no" {
 			err = errors.Errorf("%q is not yes or no", v)
 		}
@@ -362,10 +362,10 @@
 	}
 }
 
-// amount stores a number that need not be whole.
-func amount(dst *float64) setter {
+// float stores a number that need not be whole.
+func float(dst *float64) setter {
 	return func(values []string) error {
-		v, err := single(values)
+		v, err := singleValue(values)
 		if err != nil {
 			return err
 		}
@@ -392,7 +392,7 @@
 
 func duration(dst *time.Duration) setter {
 	return func(values []string) error {
-		v, err := single(values)
+		v, err := singleValue(values)
 		if err != nil {
 			return err
 		}
--- a/internal/lang/value.go
+++ b/internal/lang/value.go
@@ -8,9 +8,9 @@
 	"github.com/comfreygate/comfreygate/internal/config"
 )
 
-func number(dst *int) setter {
+func integer(dst *int) setter {
 	return func(values []string) error {
-		v, err := single(values)
+		v, err := singleValue(values)
 		if err != nil {
 			return err
 		}
@@ -21,7 +21,7 @@
 
 func urgency(dst *config.Urgency) setter {
 	return func(values []string) error {
-		v, err := single(values)
+		v, err := singleValue(values)
 		if err != nil {
 			return err
 		}
