--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves the administration API of a daemon: queries over its
-// tables, and commands on their way to the log.
+// Package admin serves the administration API of a daemon: queries over its tables, and
+// commands, which it submits to the log.
 package admin
 
 import (
@@ -18,8 +18,8 @@
 	"github.com/comfreygate/comfreygate/internal/suspect"
 )
 
-// NewHandler returns the API's handler. An empty token leaves the API open,
-// which is right on a loopback address only.
+// NewHandler returns the API's handler. An empty token disables authentication, which is
+// safe on a loopback address only.
 func NewHandler(a *agent.Agent, token string) (http.Handler, error) {
 	h := &handler{agent: a}
 	srv, err := api.NewServer(h, security{token: token})
@@ -35,7 +35,7 @@
 	return authenticated(mux, token), nil
 }
 
-// authenticated refuses requests without the token before anything is read.
+// authenticated rejects requests without the token before their body is read.
 func authenticated(next http.Handler, token string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if token == "" && r.Header.Get("Authorization") == "" {
@@ -56,14 +56,15 @@
 	return token == "" || subtle.ConstantTimeCompare([]byte(header), []byte("Bearer "+token)) == 1
 }
 
-// security is the check that the generated server asks for. The token was
-// checked already; this keeps it checked if the handler is mounted elsewhere.
+// security is the authentication that the generated server requires. authenticated has
+// already checked the token; this second check protects the server if it is mounted
+// without authenticated.
 type security struct{ token string }
 
 // HandleBearer implements api.SecurityHandler.
 func (s security) HandleBearer(ctx context.Context, _ api.OperationName, t api.Bearer) (context.Context, error) {
 	if !authorized("Bearer "+t.Token, s.token) {
-		return ctx, errors.New("wrong token")
+		return ctx, errors.New("bearer token does not match")
 	}
 	return ctx, nil
 }
@@ -84,14 +85,15 @@
 	return out
 }
 
-// badRequestError is a request that cannot be understood. Nothing was changed.
+// badRequestError is the error of a request that cannot be parsed or carried out as
+// written. Such a request has changed nothing.
 type badRequestError struct {
 	step   string
 	column int
 	err    error
 }
 
-// Error returns the reason.
+// Error implements error.
 func (b *badRequestError) Error() string { return b.err.Error() }
 
 // RunCommand implements api.Handler.
@@ -133,8 +135,9 @@
 	return h.submit(ctx, cmd, req.Force.Or(false), req.DryRun.Or(false))
 }
 
-// submit submits a change set. Unless forced, it is made against the version
-// held here: what the operator was last shown.
+// submit submits a change set, or only checks it on a dry run. Without force or an explicit
+// precondition, the precondition is the version that this daemon has, which is the one
+// that the operator was last shown.
 func (h *handler) submit(ctx context.Context, cmd config.Command, force, dryRun bool) (*api.Answer, error) {
 	current := h.agent.Held()
 	if cmd.IfVersion == nil && !force {
@@ -183,11 +186,11 @@
 	return &api.Answer{Kind: api.AnswerKindOutcome, Version: int64(version), Outcome: api.NewOptOutcome(out)}, nil
 }
 
-// clearSuspect lets a quarantined request run again, everywhere.
+// clearSuspect clears a suspect, so that the request may run again on all daemons.
 func (h *handler) clearSuspect(text string) (*api.Answer, error) {
 	d, err := suspect.ParseDigest(text)
 	if err != nil {
-		return nil, &badRequestError{step: "clear suspect", err: errors.Errorf("%q is no digest: show suspects", text)}
+		return nil, &badRequestError{step: "clear suspect", err: errors.Errorf("%q is not a digest of a suspect: 'show suspects' lists them", text)}
 	}
 	out := api.Outcome{CommandID: "clear-suspect", Status: api.OutcomeStatusAccepted}
 	if !h.agent.ClearSuspect(d) {
--- a/internal/admin/query.go
+++ b/internal/admin/query.go
@@ -28,7 +28,7 @@
 
 func (r *result) add(cells ...string) { r.rows = append(r.rows, cells) }
 
-// snapshot holds everything a query may ask about, at one moment.
+// snapshot holds all data that a query may read, as of one moment.
 type snapshot struct {
 	world    *table.World
 	now      time.Time
@@ -36,7 +36,7 @@
 	unknowns []agent.Unknown
 }
 
-// tables maps the name of a table to what fills it.
+// tables maps the name of a table to the function that returns its rows.
 var tables = map[string]func(snapshot) result{
 	"daemons":  daemons,
 	"domains":  domainsTable,
@@ -59,7 +59,7 @@
 	fill := tables[q.Table]
 	if fill == nil {
 		names := slices.Sorted(maps.Keys(tables))
-		return nil, &badRequestError{step: "query", err: errors.Errorf("no table %q: there are %s", q.Table, strings.Join(names, ", "))}
+		return nil, &badRequestError{step: "query", err: errors.Errorf("no table %q: the tables are %s", q.Table, strings.Join(names, ", "))}
 	}
 	src := snapshot{now: time.Now(), loads: h.agent.Loads(), unknowns: h.agent.Unknowns()}
 	var res result
@@ -85,7 +85,7 @@
 	for _, c := range conds {
 		col := slices.Index(r.columns, c.Column)
 		if col < 0 {
-			return nil, errors.Errorf("table %s has no column %q: it has %s", q.Table, c.Column, strings.Join(r.columns, ", "))
+			return nil, errors.Errorf("table %s has no column %q: its columns are %s", q.Table, c.Column, strings.Join(r.columns, ", "))
 		}
 		rows = slices.DeleteFunc(slices.Clone(rows), func(row []string) bool {
 			return (row[col] == c.Value) == c.Not
@@ -94,7 +94,8 @@
 	return rows, nil
 }
 
-// eachMember calls f for this daemon and every other it knows.
+// eachMember calls f for this daemon and for every other in its member table, with the time
+// since that daemon's last heartbeat as age.
 func (s snapshot) eachMember(f func(m wire.Member, state string, age time.Duration)) {
 	f(s.world.Self, memberState(s.world.Self.Leaving, false), 0)
 	for _, id := range slices.Sorted(maps.Keys(s.world.Members)) {
@@ -152,8 +153,8 @@
 	return r
 }
 
-// upstreams shows every upstream known, and the load of those on this VM, where
-// it is counted, and of those that calls from here have reached lately.
+// upstreams shows every known upstream. The load is shown only for upstreams on this VM,
+// where it is measured, and for those that this daemon has recently sent calls to.
 func upstreams(s snapshot) result {
 	r := result{columns: []string{"upstream", "service", "version", "domain", "state", "slots", "in-flight", "queued", "service-time"}}
 	s.eachMember(func(m wire.Member, state string, _ time.Duration) {
@@ -176,7 +177,7 @@
 	return formatVersion(s.world.Config.State.Content.Revisions[config.Ref{Kind: kind, Name: name}.String()])
 }
 
-// inForce says on how many live daemons an entity's last change is in force.
+// inForce returns on how many of the live daemons an entity's last change is in force.
 func (s snapshot) inForce(kind config.Kind, name string) string {
 	rev := s.world.Config.State.Content.Revisions[config.Ref{Kind: kind, Name: name}.String()]
 	live, applied := 0, 0
@@ -251,7 +252,8 @@
 	return r
 }
 
-// workspaces shows how many keys each has, and no key, nor what stands for it.
+// workspaces shows the number of keys of each workspace, but neither keys nor key hashes,
+// since both are confidential.
 func workspaces(s snapshot) result {
 	r := result{columns: []string{"workspace", "version", "in-force", "keys", "urgency", "rate", "burst"}}
 	c := s.world.Config.State.Content
@@ -267,7 +269,7 @@
 	return r
 }
 
-// formatCalls writes a number of formatCalls, or a dash for no limit.
+// formatCalls formats a limit in calls or calls per second, or returns a dash for no limit.
 func formatCalls(n float64) string {
 	if n == 0 {
 		return "-"
@@ -324,7 +326,7 @@
 	return r
 }
 
-// formatVersion writes a version, or a dash for none.
+// formatVersion formats a version or another number from 1, or returns a dash for none.
 func formatVersion(n uint64) string {
 	if n == 0 {
 		return "-"
--- a/internal/admin/rollouts.go
+++ b/internal/admin/rollouts.go
@@ -15,8 +15,9 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// rollouts shows the last roll-out of each service, and what was seen of it where it is
-// judged.
+// rollouts shows the latest rollout of each service, with the call results that it is
+// judged by. Only the roots of the distribution tree, which judge it, have these; other
+// daemons show zeros.
 func rollouts(s snapshot) result {
 	r := result{columns: []string{"service", "target", "order", "phase", "age", "of", "share", "new", "others", "why"}}
 	for _, service := range slices.Sorted(maps.Keys(s.world.Rollouts)) {
@@ -29,7 +30,7 @@
 	return r
 }
 
-// share says what part of the calls the new version may get now.
+// share returns the percentage of calls that the new version may get at present.
 func (s snapshot) share(r rollout.Record, stop string, age time.Duration) string {
 	switch {
 	case r.Phase == rollout.Reverted || stop != "":
@@ -47,7 +48,9 @@
 	return fmt.Sprintf("%d answers, %d failed, %d of %d slow", c.N, c.Failed, c.Slow, c.Timed)
 }
 
-// rolloutAnswer says what became of an order for a roll-out.
+// rolloutAnswer returns the answer to the order or the abort of a rollout that ended with
+// err. Errors other than a refusal leave open whether the order was stored, so that its
+// status is unknown.
 func (h *handler) rolloutAnswer(id string, err error) *api.Answer {
 	out := api.Outcome{CommandID: id, Status: api.OutcomeStatusAccepted}
 	var refused *agent.RefusedError
--- a/internal/dev/upstream.go
+++ b/internal/dev/upstream.go
@@ -1,5 +1,5 @@
-// Package dev holds what the dev mode adds to real daemons: example upstreams
-// and an example configuration.
+// Package dev contains the example upstreams and the example configuration that the dev
+// mode runs with its daemons.
 package dev
 
 import (
@@ -23,18 +23,18 @@
 }
 
 const (
-	// faultySuffix ends the names of versions that are bad.
+	// faultySuffix ends the names of versions whose upstreams fail part of their calls.
 	faultySuffix = "-bad"
-	// failureInterval says which of their answers are failures.
+	// failureInterval is how often these upstreams fail: one answer in so many.
 	failureInterval = 3
 )
 
-// StartUpstream serves an example upstream beside a VM's daemon, on a free port. Its
-// version is a part of its ID.
+// StartUpstream starts an example upstream on a free port of the loopback address. Its ID
+// consists of the VM and the version.
 func StartUpstream(vm, service, version string) (*Upstream, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, errors.Wrapf(err, "upstream %s", vm)
+		return nil, errors.Wrapf(err, "start upstream on VM %s", vm)
 	}
 	u := &Upstream{ID: vm + "-" + version, Service: service, Version: version, ln: ln}
 	u.srv = &http.Server{Handler: http.HandlerFunc(u.serveCall)}
@@ -50,14 +50,14 @@
 	fmt.Fprintf(w, "%s %s answered by %s of %s\n", r.Method, r.URL.Path, u.ID, u.Service)
 }
 
-// Addr returns where the upstream takes calls.
+// Addr returns the address at which the upstream accepts calls.
 func (u *Upstream) Addr() string { return u.ln.Addr().String() }
 
 // Close stops the upstream.
 func (u *Upstream) Close() error { return u.srv.Close() }
 
-// Example is an example configuration, after a booking platform for workshops. The keys of
-// its workspaces are "front-desk-key" and "night-batch-key".
+// Example is an example configuration, modelled on a booking platform for repair workshops.
+// The keys of its workspaces are "front-desk-key" and "night-batch-key".
 const Example = `
 services:
   - name: repair-tickets
--- a/internal/devlog/devlog.go
+++ b/internal/devlog/devlog.go
@@ -1,6 +1,6 @@
-// Package devlog is an in-memory stand-in for the platform's metadata store. The
-// dev mode serves it in process, and the tests run it as a process of its own
-// and make it fail. It is not meant for anything that must last.
+// Package devlog is an in-memory implementation of the platform's metadata store for
+// development and tests, with fault injection. The dev mode serves it in process; the
+// integration tests run it as a separate process and make it fail. Nothing is persisted.
 package devlog
 
 import (
@@ -17,24 +17,23 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// maxAppendBytes bounds the records of one append.
+// maxAppendBytes bounds the size of the records in one append.
 const maxAppendBytes = 8 << 20
 
-// maxReadEntries bounds the entries of one read.
+// maxReadEntries bounds the number of entries that one read returns.
 const maxReadEntries = 1000
 
-// Faults makes the log fail on purpose.
+// Faults are the faults that the log injects.
 type Faults struct {
-	// Down refuses every operation.
+	// Down makes every operation fail.
 	Down bool `json:"down"`
 	// DelayMs is added to every operation.
 	DelayMs int `json:"delay_ms"`
-	// LoseAnswers is how many of the next appends take effect and then
-	// report a failure.
+	// LoseAnswers is how many of the next appends take effect but report a failure.
 	LoseAnswers int `json:"lose_answers"`
 }
 
-// Counts says how often the log was used.
+// Counts are the numbers of appends and reads, and the bytes of record data read.
 type Counts struct {
 	Appends int64 `json:"appends"`
 	Reads   int64 `json:"reads"`
@@ -44,16 +43,16 @@
 type topicRecords struct {
 	first   uint64
 	entries []store.Entry
-	// newest holds the newest record of each key, also after it expired.
+	// newest holds the newest record of each key, including records that have expired.
 	newest map[string]store.Entry
 }
 
 func (s *topicRecords) end() uint64 { return s.first + uint64(len(s.entries)) }
 
-// Log is the stand-in. The zero value is not usable: see New.
+// Log is an in-memory store.Log. The zero value is not usable; create one with New.
 type Log struct {
 	mu      sync.Mutex
-	topics map[string]*topicRecords
+	topics  map[string]*topicRecords
 	faults  Faults
 	counts  Counts
 	changed chan struct{}
@@ -70,8 +69,8 @@
 
 func (errDown) Error() string { return "log is down" }
 
-// errAnswerLost is the failure of an append that took effect.
-var errAnswerLost = errors.New("the answer is lost")
+// errAnswerLost is the injected failure of an append that took effect.
+var errAnswerLost = errors.New("answer to an append lost by an injected fault; the record was appended")
 
 // Append implements store.Log.
 func (l *Log) Append(ctx context.Context, topic string, data []byte) (uint64, error) {
@@ -98,7 +97,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Reads++
-	s := l.topic(topic)
+	s := l.recordsOf(topic)
 	out := store.Newest{End: s.end()}
 	for _, key := range slices.Sorted(maps.Keys(s.newest)) {
 		out.Entries = append(out.Entries, s.newest[key])
@@ -110,7 +109,8 @@
 	return l.appendAt(ctx, topic, e, nil)
 }
 
-// appendAt appends if the stream ends at that offset, or anywhere if at is nil.
+// appendAt appends a record if the topic ends at offset at, or unconditionally if at is
+// nil.
 func (l *Log) appendAt(ctx context.Context, topic string, e store.Entry, at *uint64) (uint64, error) {
 	if err := l.applyFaults(ctx); err != nil {
 		return 0, err
@@ -118,7 +118,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Appends++
-	s := l.topic(topic)
+	s := l.recordsOf(topic)
 	offset := s.end()
 	if at != nil && *at != offset {
 		return 0, &store.StatusError{Status: http.StatusPreconditionFailed, Body: fmt.Sprintf(`{"end":%d}`, offset)}
@@ -171,7 +171,7 @@
 	if l.faults.Down {
 		return store.Batch{}, nil, errDown{}
 	}
-	s := l.topic(topic)
+	s := l.recordsOf(topic)
 	batch := store.Batch{First: s.first, End: s.end()}
 	from = max(from, s.first)
 	if from < s.end() {
@@ -184,7 +184,7 @@
 	return batch, l.changed, nil
 }
 
-// applyFaults applies the faults that hit every operation.
+// applyFaults applies the delay and the outage, the faults that affect every operation.
 func (l *Log) applyFaults(ctx context.Context) error {
 	l.mu.Lock()
 	f := l.faults
@@ -204,7 +204,7 @@
 	return nil
 }
 
-func (l *Log) topic(topic string) *topicRecords {
+func (l *Log) recordsOf(topic string) *topicRecords {
 	s := l.topics[topic]
 	if s == nil {
 		s = &topicRecords{newest: map[string]store.Entry{}}
@@ -213,7 +213,7 @@
 	return s
 }
 
-// SetFaults replaces the faults and wakes waiting reads.
+// SetFaults replaces the injected faults and wakes waiting reads.
 func (l *Log) SetFaults(f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -222,17 +222,18 @@
 	l.changed = make(chan struct{})
 }
 
-// Expire forgets all but the last keep records of a stream, as retention does.
+// Expire drops all but the last keep records of a topic, as retention does. The newest
+// record of each key is kept.
 func (l *Log) Expire(topic string, keep int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.topic(topic)
+	s := l.recordsOf(topic)
 	drop := max(0, len(s.entries)-keep)
 	s.first += uint64(drop)
 	s.entries = append([]store.Entry(nil), s.entries[drop:]...)
 }
 
-// Reset loses every stream; offsets begin again at zero.
+// Reset deletes all topics; offsets start at zero again.
 func (l *Log) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -241,7 +242,7 @@
 	l.changed = make(chan struct{})
 }
 
-// Counts returns how often the log was used so far.
+// Counts returns the counts since the log was created.
 func (l *Log) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/devlog/http.go
+++ b/internal/devlog/http.go
@@ -12,7 +12,8 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// Handler serves the store's protocol, and the faults under /faults.
+// Handler returns a handler for the store's HTTP protocol and for control of the log:
+// fault injection under /faults, and /expire, /reset and /counts.
 func (l *Log) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /log-append", l.serveAppend)
@@ -45,14 +46,14 @@
 	var out store.Appended
 	for i, e := range entries {
 		offset, err := l.appendAt(r.Context(), topic, e, at)
-		at = nil // the others follow the first
+		at = nil // the condition applies only to the first record
 		var refused *store.StatusError
 		if errors.As(err, &refused) {
 			http.Error(w, refused.Body, refused.Status)
 			return
 		}
 		if errors.Is(err, errAnswerLost) {
-			panic(http.ErrAbortHandler) // done, and the answer is lost
+			panic(http.ErrAbortHandler) // the record was appended, but the client gets no answer
 		}
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -66,7 +67,7 @@
 	writeJSON(w, out)
 }
 
-// optionalOffset reads an offset, or nil if there is none.
+// optionalOffset parses an offset, or returns nil if the text is empty.
 func optionalOffset(text string) (*uint64, error) {
 	if text == "" {
 		return nil, nil
@@ -121,7 +122,7 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	// The client has gone if this fails; there is nobody to tell.
+	// An error means that the client has disconnected; there is nobody to report it to.
 	_, _ = w.Write(b)
 }
 
@@ -158,6 +159,6 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// The client has gone if this fails; there is nobody to tell.
+	// An error means that the client has disconnected; there is nobody to report it to.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/internal/lang/document.go
+++ b/internal/lang/document.go
@@ -10,7 +10,8 @@
 	"github.com/comfreygate/comfreygate/internal/config"
 )
 
-// document is a change set as a YAML file. Entities are created or replaced.
+// document is a change set in its YAML form. Its entities are created or replaced, except
+// those listed under withdraw, which are removed.
 type document struct {
 	Services   []serviceDoc   `yaml:"services"`
 	Policies   []policyDoc    `yaml:"policies"`
@@ -60,8 +61,8 @@
 	Name string `yaml:"name"`
 }
 
-// ParseYAML reads a change set from a YAML document. Unknown keys are refused
-// with their line.
+// ParseYAML reads a change set from a YAML document. It rejects unknown keys with an error
+// that gives their line.
 func ParseYAML(text []byte) ([]config.Change, error) {
 	var d document
 	if err := yaml.UnmarshalWithOptions(text, &d, yaml.Strict()); err != nil {
--- a/internal/lang/lang_test.go
+++ b/internal/lang/lang_test.go
@@ -88,11 +88,11 @@
 		_, err := Parse(c.text)
 		var le *Error
 		if !errors.As(err, &le) {
-			t.Errorf("%q: %v is no *Error", c.text, err)
+			t.Errorf("%q: got error %v, want an *Error", c.text, err)
 			continue
 		}
 		if le.Column != c.column || !strings.Contains(le.Reason, c.reason) {
-			t.Errorf("%q: column %d, %q; want column %d, %q", c.text, le.Column, le.Reason, c.column, c.reason)
+			t.Errorf("%q: got column %d, reason %q; want column %d, reason with %q", c.text, le.Column, le.Reason, c.column, c.reason)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	is.NoErr(config.Command{ID: "x", Changes: changes}.Validate())
 	for _, bad := range []string{"service: []", "services: [{nam: x}]", "policies: [{name: p, urgency: soon, timeout: 1s}]", "services: 3"} {
 		if _, err := ParseYAML([]byte(bad)); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("ParseYAML accepted %q, want an error", bad)
 		}
 	}
 }
--- a/internal/lang/statement.go
+++ b/internal/lang/statement.go
@@ -1,5 +1,6 @@
-// Package lang is the query and command language of operators. One statement
-// is a query, or a change set of one or more changes:
+// Package lang parses the query and command language of operators. A statement is a query,
+// a change set of one or more changes, or a single command such as "reseed log" or "abort
+// rollout tickets". Examples:
 //
 //	show daemons where domain = ikeja
 //	publish service tickets ramp 10s; publish policy urgent urgency critical timeout 800ms
@@ -25,19 +26,20 @@
 	Query   *Query
 	Changes []config.Change
 	DryRun  bool
-	// Force skips the precondition, IfVersion sets it. With neither, a change
-	// set is made against the version the answering daemon holds.
+	// Force skips the version precondition, IfVersion sets it. With neither, the
+	// precondition is the version that the answering daemon has.
 	Force     bool
 	IfVersion *uint64
 	Reseed    bool
-	// Clear is the digest of a request that is no longer suspected.
+	// Clear is the digest of a suspect to clear.
 	Clear string
-	// Rollout orders a roll-out, Abort ends that of a service.
+	// Rollout orders a rollout. Abort names the service whose rollout to abort.
 	Rollout *Rollout
 	Abort   string
 }
 
-// Rollout is an order to move a service's calls to a version of its upstreams.
+// Rollout is an order to move a service's calls to the target version of its upstreams
+// within a time limit.
 type Rollout struct {
 	Service string
 	Target  string
@@ -47,30 +49,32 @@
 // Query asks for the rows of a table.
 type Query struct {
 	Table string
-	// Name picks one row by its first column, if given.
+	// Name selects rows by their first column, unless it is empty.
 	Name  string
 	Where []Condition
 }
 
-// Condition restricts a query's rows.
+// Condition restricts a query to rows with the value in a column, or without it if Not is
+// set.
 type Condition struct {
 	Column string
 	Not    bool
 	Value  string
 }
 
-// Error is a statement that cannot be read.
+// Error is the error of a statement that cannot be parsed.
 type Error struct {
-	// Line and Column are where, from 1.
+	// Line and Column locate the error; both start at 1.
 	Line   int
 	Column int
 	Reason string
 }
 
-// Error returns the reason.
+// Error implements error. It returns the reason without the position.
 func (e *Error) Error() string { return e.Reason }
 
-// The grammar. Attributes may come in any order.
+// The grammar, as structs with participle tags. The attributes of an entity may appear in
+// any order.
 type statementAST struct {
 	Query   *queryAST   `parser:"( @@"`
 	Reseed  bool        `parser:"| @'reseed' 'log'"`
@@ -94,7 +98,7 @@
 func (r *rolloutAST) order() (*Rollout, error) {
 	d, err := time.ParseDuration(r.Within.Value)
 	if err != nil || d <= 0 {
-		return nil, participle.Errorf(r.Within.Pos, "within: %q is no time, such as 12s", r.Within.Value)
+		return nil, participle.Errorf(r.Within.Pos, "within: %q is not a positive duration such as 12s", r.Within.Value)
 	}
 	return &Rollout{Service: r.Service, Target: r.Target, Within: d}, nil
 }
@@ -118,7 +122,7 @@
 	Changes []*changeAST `parser:"@@ ( ';' @@ )*"`
 }
 
-// version returns a version, or nil if none was given.
+// version returns the value as a version, or nil if v is nil.
 func (v *valueAST) version() (*uint64, error) {
 	if v == nil {
 		return nil, nil
@@ -166,7 +170,7 @@
 	participle.UseLookahead(2),
 )
 
-// Parse reads one statement. The error is an *Error.
+// Parse parses one statement. Any error is an *Error.
 func Parse(text string) (*Statement, error) {
 	ast, err := parser.ParseString("", text)
 	if err != nil {
@@ -247,11 +251,11 @@
 	return s, c.setAttributes(setters{"ramp": duration(&s.Ramp)})
 }
 
-// DefaultRepeatable are the methods that may be repeated if a policy does not
-// say otherwise: the safe ones of RFC 9110, section 9.2.1.
+// DefaultRepeatable returns the methods that may be repeated if a policy does not set them:
+// the safe ones of RFC 9110, section 9.2.1, without TRACE.
 func DefaultRepeatable() []string { return []string{"GET", "HEAD", "OPTIONS"} }
 
-// DefaultRetries is the number of retries if a policy does not say otherwise.
+// DefaultRetries is the number of retries if a policy does not set it.
 const DefaultRetries = 2
 
 func (c *changeAST) policy() (*config.Policy, error) {
@@ -293,12 +297,14 @@
 	return ws, err
 }
 
-// setter stores the values of an attribute.
+// setter parses and stores the values of an attribute.
 type setter func(values []string) error
 
+// setters maps the names of an entity's attributes to their setters.
 type setters map[string]setter
 
-// setAttributes stores the attributes and refuses unknown, doubled and missing ones.
+// setAttributes stores the entity's attributes. It rejects unknown and duplicate ones, and
+// the absence of a required one.
 func (c *changeAST) setAttributes(set setters, required ...string) error {
 	seen := map[string]bool{}
 	for _, a := range c.Entity.Attrs {
@@ -324,7 +330,7 @@
 
 func singleValue(values []string) (string, error) {
 	if len(values) != 1 {
-		return "", errors.New("takes one value")
+		return "", errors.New("takes exactly one value")
 	}
 	return values[0], nil
 }
@@ -343,7 +349,7 @@
 	}
 }
 
-// sortedList stores a list in order.
+// sortedList stores a list of values in sorted order.
 func sortedList(dst *[]string) setter {
 	return func(values []string) error {
 		*dst = slices.Sorted(slices.Values(values))
@@ -362,7 +368,7 @@
 	}
 }
 
-// float stores a number that need not be whole.
+// float stores a floating-point number.
 func float(dst *float64) setter {
 	return func(values []string) error {
 		v, err := singleValue(values)
