--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -99,9 +99,9 @@
 // RunCommand implements api.Handler.
 func (h *handler) RunCommand(ctx context.Context, req *api.CommandRequest) (*api.Answer, error) {
 	st, err := lang.Parse(req.Text)
-	var le *lang.Error
-	if errors.As(err, &le) {
-		return nil, &badRequestError{step: "parse", column: le.Column, err: errors.Errorf("line %d, column %d: %s", le.Line, le.Column, le.Reason)}
+	var parseErr *lang.Error
+	if errors.As(err, &parseErr) {
+		return nil, &badRequestError{step: "parse", column: parseErr.Column, err: errors.Errorf("line %d, column %d: %s", parseErr.Line, parseErr.Column, parseErr.Reason)}
 	}
 	switch {
 	case st.Query != nil:
--- a/internal/admin/query.go
+++ b/internal/admin/query.go
@@ -61,13 +61,13 @@
 		names := slices.Sorted(maps.Keys(tables))
 		return nil, &badRequestError{step: "query", err: errors.Errorf("no table %q: the tables are %s", q.Table, strings.Join(names, ", "))}
 	}
-	src := snapshot{now: time.Now(), loads: h.agent.Loads(), unknowns: h.agent.Unknowns()}
+	snap := snapshot{now: time.Now(), loads: h.agent.Loads(), unknowns: h.agent.Unknowns()}
 	var res result
 	var version uint64
 	h.agent.Inspect(func(w *table.World) {
-		src.world = w
+		snap.world = w
 		version = w.Config.State.Version
-		res = fill(src)
+		res = fill(snap)
 	})
 	rows, err := filter(res, q)
 	if err != nil {
@@ -94,8 +94,8 @@
 	return rows, nil
 }
 
-// eachMember calls f for this daemon and for every other in its member table, with the time
-// since that daemon's last heartbeat as age.
+// eachMember calls f for this daemon and for every other in its member table. age is the time
+// since the last heartbeat of the other daemon, and zero for this one.
 func (s snapshot) eachMember(f func(m wire.Member, state string, age time.Duration)) {
 	f(s.world.Self, memberState(s.world.Self.Leaving, false), 0)
 	for _, id := range slices.Sorted(maps.Keys(s.world.Members)) {
@@ -252,8 +252,8 @@
 	return r
 }
 
-// workspaces shows the number of keys of each workspace, but neither keys nor key hashes,
-// since both are confidential.
+// workspaces shows the number of keys of each workspace, but neither the keys nor their
+// hashes.
 func workspaces(s snapshot) result {
 	r := result{columns: []string{"workspace", "version", "in-force", "keys", "urgency", "rate", "burst"}}
 	c := s.world.Config.State.Content
