--- a/internal/lang/document.go
+++ b/internal/lang/document.go
@@ -10,7 +10,8 @@
 	"github.com/comfreygate/comfreygate/internal/config"
 )
 
-// document is a change set as a YAML file. Entities are created or replaced.
+// document is a change set in its YAML form. Its entities are created or replaced, except
+// those listed under withdraw, which are removed.
 type document struct {
 	Services   []serviceDoc   `yaml:"services"`
 	Policies   []policyDoc    `yaml:"policies"`
@@ -60,8 +61,8 @@
 	Name string `yaml:"name"`
 }
 
-// ParseYAML reads a change set from a YAML document. Unknown keys are refused
-// with their line.
+// ParseYAML reads a change set from a YAML document. It rejects unknown keys with an error
+// that gives their line.
 func ParseYAML(text []byte) ([]config.Change, error) {
 	var d document
 	if err := yaml.UnmarshalWithOptions(text, &d, yaml.Strict()); err != nil {
@@ -73,28 +74,28 @@
 		if err != nil {
 			return nil, errors.Wrapf(err, "service %s: ramp", s.Name)
 		}
-		changes = append(changes, put(config.KindService, s.Name, config.Change{Service: &config.Service{Name: s.Name, Ramp: ramp}}))
+		changes = append(changes, putChange(config.KindService, s.Name, config.Change{Service: &config.Service{Name: s.Name, Ramp: ramp}}))
 	}
 	for _, p := range d.Policies {
 		policy, err := p.policy()
 		if err != nil {
 			return nil, errors.Wrapf(err, "policy %s", p.Name)
 		}
-		changes = append(changes, put(config.KindPolicy, p.Name, config.Change{Policy: policy}))
+		changes = append(changes, putChange(config.KindPolicy, p.Name, config.Change{Policy: policy}))
 	}
 	for _, c := range d.Callers {
-		changes = append(changes, put(config.KindCaller, c.Name, config.Change{Caller: &config.Caller{Name: c.Name, KeyHash: c.KeyHash}}))
+		changes = append(changes, putChange(config.KindCaller, c.Name, config.Change{Caller: &config.Caller{Name: c.Name, KeyHash: c.KeyHash}}))
 	}
 	for _, r := range d.Routes {
 		route := config.Route{Name: r.Name, Path: r.Path, Service: r.Service, Policy: r.Policy, Callers: r.Callers, Public: r.Public}
-		changes = append(changes, put(config.KindRoute, r.Name, config.Change{Route: &route}))
+		changes = append(changes, putChange(config.KindRoute, r.Name, config.Change{Route: &route}))
 	}
 	for _, w := range d.Workspaces {
 		ws, err := w.workspace()
 		if err != nil {
 			return nil, errors.Wrapf(err, "workspace %s", w.Name)
 		}
-		changes = append(changes, put(config.KindWorkspace, w.Name, config.Change{Workspace: ws}))
+		changes = append(changes, putChange(config.KindWorkspace, w.Name, config.Change{Workspace: ws}))
 	}
 	for _, w := range d.Withdraw {
 		ref := config.Ref{Kind: config.Kind(w.Kind), Name: w.Name}
@@ -103,7 +104,7 @@
 	return changes, nil
 }
 
-func put(kind config.Kind, name string, ch config.Change) config.Change {
+func putChange(kind config.Kind, name string, ch config.Change) config.Change {
 	ch.Verb = config.Put
 	ch.Ref = config.Ref{Kind: kind, Name: name}
 	return ch
--- a/internal/lang/statement.go
+++ b/internal/lang/statement.go
@@ -1,5 +1,6 @@
-// Package lang is the query and command language of operators. One statement
-// is a query, or a change set of one or more changes:
+// Package lang parses the query and command language of operators. A statement is a query,
+// a change set of one or more changes, or a single command such as "reseed log" or "abort
+// rollout tickets". Examples:
 //
 //	show daemons where domain = ikeja
 //	publish service tickets ramp 10s; publish policy urgent urgency critical timeout 800ms
@@ -25,19 +26,20 @@
 	Query   *Query
 	Changes []config.Change
 	DryRun  bool
-	// Force skips the precondition, IfVersion sets it. With neither, a change
-	// set is made against the version the answering daemon holds.
+	// Force skips the version precondition, IfVersion sets it. With neither, the
+	// precondition is the version that the answering daemon has.
 	Force     bool
 	IfVersion *uint64
 	Reseed    bool
-	// Clear is the digest of a request that is no longer suspected.
+	// Clear is the digest of a suspect to clear.
 	Clear string
-	// Rollout orders a roll-out, Abort ends that of a service.
+	// Rollout orders a rollout. Abort names the service whose rollout to abort.
 	Rollout *Rollout
 	Abort   string
 }
 
-// Rollout is an order to move a service's calls to a version of its upstreams.
+// Rollout is an order to move a service's calls to the target version of its upstreams
+// within a time limit.
 type Rollout struct {
 	Service string
 	Target  string
@@ -47,30 +49,32 @@
 // Query asks for the rows of a table.
 type Query struct {
 	Table string
-	// Name picks one row by its first column, if given.
+	// Name selects rows by their first column, unless it is empty.
 	Name  string
 	Where []Condition
 }
 
-// Condition restricts a query's rows.
+// Condition restricts a query to rows with the value in a column, or without it if Not is
+// set.
 type Condition struct {
 	Column string
 	Not    bool
 	Value  string
 }
 
-// Error is a statement that cannot be read.
+// Error is the error of a statement that cannot be parsed.
 type Error struct {
-	// Line and Column are where, from 1.
+	// Line and Column locate the error; both start at 1.
 	Line   int
 	Column int
 	Reason string
 }
 
-// Error returns the reason.
+// Error implements error. It returns the reason without the position.
 func (e *Error) Error() string { return e.Reason }
 
-// The grammar. Attributes may come in any order.
+// The grammar, as structs with participle tags. The attributes of an entity may appear in
+// any order.
 type statementAST struct {
 	Query   *queryAST   `parser:"( @@"`
 	Reseed  bool        `parser:"| @'reseed' 'log'"`
@@ -94,7 +98,7 @@
 func (r *rolloutAST) order() (*Rollout, error) {
 	d, err := time.ParseDuration(r.Within.Value)
 	if err != nil || d <= 0 {
-		return nil, participle.Errorf(r.Within.Pos, "within: %q is no time, such as 12s", r.Within.Value)
+		return nil, participle.Errorf(r.Within.Pos, "within: %q is not a positive duration such as 12s", r.Within.Value)
 	}
 	return &Rollout{Service: r.Service, Target: r.Target, Within: d}, nil
 }
@@ -118,8 +122,8 @@
 	Changes []*changeAST `parser:"@@ ( ';' @@ )*"`
 }
 
-// number returns a version, or nil if none was given.
-func (v *valueAST) number() (*uint64, error) {
+// version returns the value as a version, or nil if v is nil.
+func (v *valueAST) version() (*uint64, error) {
 	if v == nil {
 		return nil, nil
 	}
@@ -166,11 +170,11 @@
 	participle.UseLookahead(2),
 )
 
-// Parse reads one statement. The error is an *Error.
+// Parse parses one statement. Any error is an *Error.
 func Parse(text string) (*Statement, error) {
 	ast, err := parser.ParseString("", text)
 	if err != nil {
-		return nil, located(err)
+		return nil, withPosition(err)
 	}
 	switch {
 	case ast.Query != nil:
@@ -184,26 +188,26 @@
 	case ast.Rollout != nil:
 		order, err := ast.Rollout.order()
 		if err != nil {
-			return nil, located(err)
+			return nil, withPosition(err)
 		}
 		return &Statement{Rollout: order}, nil
 	}
-	version, err := ast.Command.Version.number()
+	version, err := ast.Command.Version.version()
 	if err != nil {
-		return nil, located(err)
+		return nil, withPosition(err)
 	}
 	s := &Statement{DryRun: ast.Command.DryRun, Force: ast.Command.Force, IfVersion: version}
 	for _, c := range ast.Command.Changes {
 		change, err := c.change()
 		if err != nil {
-			return nil, located(err)
+			return nil, withPosition(err)
 		}
 		s.Changes = append(s.Changes, change)
 	}
 	return s, nil
 }
 
-func located(err error) error {
+func withPosition(err error) error {
 	var pe participle.Error
 	if errors.As(err, &pe) {
 		return &Error{Line: pe.Position().Line, Column: pe.Position().Column, Reason: pe.Message()}
@@ -244,22 +248,22 @@
 
 func (c *changeAST) service() (*config.Service, error) {
 	s := &config.Service{Name: c.Entity.Ref.Name}
-	return s, c.each(setters{"ramp": duration(&s.Ramp)})
+	return s, c.setAttributes(setters{"ramp": duration(&s.Ramp)})
 }
 
-// DefaultRepeatable are the methods that may be repeated if a policy does not
-// say otherwise: the safe ones of RFC 9110, section 9.2.1.
+// DefaultRepeatable returns the methods that may be repeated if a policy does not set them:
+// the safe ones of RFC 9110, section 9.2.1, without TRACE.
 func DefaultRepeatable() []string { return []string{"GET", "HEAD", "OPTIONS"} }
 
-// DefaultRetries is the number of retries if a policy does not say otherwise.
+// DefaultRetries is the number of retries if a policy does not set it.
 const DefaultRetries = 2
 
 func (c *changeAST) policy() (*config.Policy, error) {
 	p := &config.Policy{Name: c.Entity.Ref.Name, Retries: DefaultRetries, Repeatable: DefaultRepeatable()}
-	err := c.each(setters{
+	err := c.setAttributes(setters{
 		"urgency":    urgency(&p.Urgency),
 		"timeout":    duration(&p.Timeout),
-		"retries":    number(&p.Retries),
+		"retries":    integer(&p.Retries),
 		"repeatable": methods(&p.Repeatable),
 	}, "urgency", "timeout")
 	return p, err
@@ -267,12 +271,12 @@
 
 func (c *changeAST) caller() (*config.Caller, error) {
 	out := &config.Caller{Name: c.Entity.Ref.Name}
-	return out, c.each(setters{"key": text(&out.KeyHash)})
+	return out, c.setAttributes(setters{"key": text(&out.KeyHash)})
 }
 
 func (c *changeAST) route() (*config.Route, error) {
 	r := &config.Route{Name: c.Entity.Ref.Name}
-	err := c.each(setters{
+	err := c.setAttributes(setters{
 		"path":    text(&r.Path),
 		"to":      text(&r.Service),
 		"policy":  text(&r.Policy),
@@ -284,33 +288,35 @@
 
 func (c *changeAST) workspace() (*config.Workspace, error) {
 	ws := &config.Workspace{Name: c.Entity.Ref.Name}
-	err := c.each(setters{
-		"keys":    sorted(&ws.KeyHashes),
+	err := c.setAttributes(setters{
+		"keys":    sortedList(&ws.KeyHashes),
 		"urgency": urgency(&ws.Urgency),
-		"rate":    amount(&ws.Rate),
-		"burst":   amount(&ws.Burst),
+		"rate":    float(&ws.Rate),
+		"burst":   float(&ws.Burst),
 	})
 	return ws, err
 }
 
-// setter stores the values of an attribute.
+// setter parses and stores the values of an attribute.
 type setter func(values []string) error
 
+// setters maps the names of an entity's attributes to their setters.
 type setters map[string]setter
 
-// each stores the attributes and refuses unknown, doubled and missing ones.
-func (c *changeAST) each(set setters, required ...string) error {
+// setAttributes stores the entity's attributes. It rejects unknown and duplicate ones, and
+// the absence of a required one.
+func (c *changeAST) setAttributes(set setters, required ...string) error {
 	seen := map[string]bool{}
 	for _, a := range c.Entity.Attrs {
-		store := set[a.Name]
-		if store == nil {
+		setValue := set[a.Name]
+		if setValue == nil {
 			return participle.Errorf(a.Pos, "a %s has no %q", c.Entity.Ref.Kind, a.Name)
 		}
 		if seen[a.Name] {
 			return participle.Errorf(a.Pos, "%q is given twice", a.Name)
 		}
 		seen[a.Name] = true
-		if err := store(a.Values); err != nil {
+		if err := setValue(a.Values); err != nil {
 			return participle.Errorf(a.Pos, "%s: %v", a.Name, err)
 		}
 	}
@@ -322,16 +328,16 @@
 	return nil
 }
 
-func single(values []string) (string, error) {
+func singleValue(values []string) (string, error) {
 	if len(values) != 1 {
-		return "", errors.New("takes one value")
+		return "", errors.New("takes exactly one value")
 	}
 	return values[0], nil
 }
 
 func text(dst *string) setter {
 	return func(values []string) (err error) {
-		*dst, err = single(values)
+		*dst, err = singleValue(values)
 		return err
 	}
 }
@@ -343,8 +349,8 @@
 	}
 }
 
-// sorted stores a list in order.
-func sorted(dst *[]string) setter {
+// sortedList stores a list of values in sorted order.
+func sortedList(dst *[]string) setter {
 	return func(values []string) error {
 		*dst = slices.Sorted(slices.Values(values))
 		return nil
@@ -353,7 +359,7 @@
 
 func yesNo(dst *bool) setter {
 	return func(values []string) error {
-		v, err := single(values)
+		v, err := singleValue(values)
 		if err == nil && v != "yes" && v != "no" {
 			err = errors.Errorf("%q is not yes or no", v)
 		}
@@ -362,10 +368,10 @@
 	}
 }
 
-// amount stores a number that need not be whole.
-func amount(dst *float64) setter {
+// float stores a floating-point number.
+func float(dst *float64) setter {
 	return func(values []string) error {
-		v, err := single(values)
+		v, err := singleValue(values)
 		if err != nil {
 			return err
 		}
@@ -392,7 +398,7 @@
 
 func duration(dst *time.Duration) setter {
 	return func(values []string) error {
-		v, err := single(values)
+		v, err := singleValue(values)
 		if err != nil {
 			return err
 		}
