--- a/itest/calls_test.go
+++ b/itest/calls_test.go
@@ -28,7 +28,7 @@
 	for _, v := range c.VMs[:3] {
 		ups = append(ups, v.AddUpstream("tickets", args...))
 	}
-	version := c.VMs[0].Publish(basics)
+	version := c.VMs[0].MustExecute(baseConfig)
 	c.AwaitVersion(version, c.VMs...)
 	c.AwaitMembers(4, c.VMs...)
 	c.AwaitUpstreams(3, c.VMs...)
@@ -38,10 +38,10 @@
 // edge is the VM without upstreams.
 func edge(c *harness.Cluster) *harness.VM { return c.VMs[3] }
 
-func TestAnswersAreWholeAndTheCallersOwn(t *testing.T) {
+func TestResponsesAreCompleteAndBelongToTheirCalls(t *testing.T) {
 	c, _ := threeDomains(t)
 	load := harness.StartLoad(24, c.VMs, func(n int64) harness.Call {
-		call := harness.Posts("own")(n)
+		call := harness.PostCalls("own")(n)
 		call.Path += fmt.Sprintf("?delay_ms=%d", n%7)
 		call.Body = strings.Repeat(call.ID+" ", int(n%400))
 		if n%11 == 0 {
@@ -53,60 +53,60 @@
 		return call
 	})
 	for range 10 {
-		load.AwaitMore(t, 100)
+		load.AwaitResponses(t, 100)
 		for _, v := range c.VMs {
-			v.Owner.Break()
+			v.Owner.CloseConnections()
 		}
 	}
 	load.Stop()
-	load.CheckPromises(t, c)
+	load.CheckGuarantees(t, c)
 	t.Log(load.Tally())
-	for id, a := range load.Answers {
+	for id, a := range load.Responses {
 		if strings.Contains(load.Calls[id].Path, "cut") && a.Err == nil && a.Outcome == "answered" {
 			t.Errorf("%s was cut short and passed off as whole: %q", id, a.Body)
 		}
 	}
 }
 
-// TestNotRunIsTrueAndNothingRunsTwice breaks connections before, in and after
+// TestNotRunIsAccurateAndNoCallRunsTwice breaks connections before, in and after
 // requests, freezes an owner after admission and wakes it later, and kills
 // one, while calls that may not be repeated arrive everywhere.
-func TestNotRunIsTrueAndNothingRunsTwice(t *testing.T) {
+func TestNotRunIsAccurateAndNoCallRunsTwice(t *testing.T) {
 	c, _ := threeDomains(t, "-delay-ms", "3")
 	frozen, killed := c.VMs[1], c.VMs[2]
-	load := harness.StartLoad(24, []*harness.VM{c.VMs[0], edge(c)}, harness.Posts("once"))
+	load := harness.StartLoad(24, []*harness.VM{c.VMs[0], edge(c)}, harness.PostCalls("once"))
 	for _, v := range c.VMs[:3] {
 		for range 5 {
-			load.AwaitMore(t, 50)
-			v.Owner.Break()
+			load.AwaitResponses(t, 50)
+			v.Owner.CloseConnections()
 		}
-		v.Owner.Set(func(string) fault.Rule { return fault.Rule{CutDownAfter: 700} })
-		load.AwaitMore(t, 100)
-		v.Owner.Set(func(string) fault.Rule { return fault.Rule{DropDown: true} })
-		load.AwaitMore(t, 50)
-		v.Owner.Set(nil)
-		v.Owner.Break()
+		v.Owner.SetRules(func(string) fault.Rule { return fault.Rule{CloseAfterBytesDown: 700} })
+		load.AwaitResponses(t, 100)
+		v.Owner.SetRules(func(string) fault.Rule { return fault.Rule{DropDown: true} })
+		load.AwaitResponses(t, 50)
+		v.Owner.SetRules(nil)
+		v.Owner.CloseConnections()
 	}
-	load.AwaitMore(t, 100)
+	load.AwaitResponses(t, 100)
 	frozen.Pause()
 	load.AwaitOutcome(t, "unknown", 1) // the callers are answered first
 	frozen.Resume()
-	load.AwaitMore(t, 200)
+	load.AwaitResponses(t, 200)
 	killed.Kill()
-	load.AwaitMore(t, 50)
+	load.AwaitResponses(t, 50)
 	load.Stop()
-	load.CheckPromises(t, c)
+	load.CheckGuarantees(t, c)
 	t.Log(load.Tally())
 }
 
 func TestSameKeyAtTwoIngressesRunsOnce(t *testing.T) {
 	is := is.New(t)
 	c, _ := threeDomains(t, "-delay-ms", "100")
-	client := harness.NewCaller()
+	client := harness.NewCallerClient()
 	for k := range 10 {
 		key := fmt.Sprintf("key-%d", k)
 		var wg sync.WaitGroup
-		answers := make([]harness.Answer, 6)
+		answers := make([]harness.Response, 6)
 		for i := range answers {
 			wg.Go(func() {
 				answers[i] = c.VMs[i%3].Send(client, harness.Call{
@@ -118,7 +118,7 @@
 		wg.Wait()
 		ran, answered := 0, 0
 		for i, a := range answers {
-			ran += c.Runs()[fmt.Sprintf("%s-copy%d", key, i)]
+			ran += c.RunCounts()[fmt.Sprintf("%s-copy%d", key, i)]
 			if a.Outcome == "answered" {
 				answered++
 			} else {
@@ -130,32 +130,32 @@
 	}
 }
 
-func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
+func TestLeavingUpstreamGetsNoNewCalls(t *testing.T) {
 	is := is.New(t)
 	c, ups := threeDomains(t, "-delay-ms", "5")
-	load := harness.StartLoad(16, c.VMs, harness.Posts("leave"))
-	load.AwaitMore(t, 200)
+	load := harness.StartLoad(16, c.VMs, harness.PostCalls("leave"))
+	load.AwaitResponses(t, 200)
 	// It says that it leaves and stays up: what was admitted before finishes,
 	// then nothing more arrives.
 	c.VMs[1].Withdraw(ups[1])
-	load.AwaitMore(t, 100)
-	before := runsOf(c, ups[1])
-	load.AwaitMore(t, 300)
-	is.Equal(runsOf(c, ups[1]), before)
+	load.AwaitResponses(t, 100)
+	before := runCountOf(c, ups[1])
+	load.AwaitResponses(t, 300)
+	is.Equal(runCountOf(c, ups[1]), before)
 	is.Equal(ups[1].Stop(), 0)
 	// One that vanishes instead is refused by its owner at once.
 	ups[2].Kill()
-	load.AwaitMore(t, 300)
+	load.AwaitResponses(t, 300)
 	c.AwaitUpstreams(1, c.VMs...)
 	load.Stop()
-	load.CheckPromises(t, c)
+	load.CheckGuarantees(t, c)
 	tally := load.Tally()
 	t.Log(tally)
 	is.Equal(tally["broken"], 0)
 	is.True(tally["unknown"] <= 16) // at most what was in flight at the kill
 }
 
-func runsOf(c *harness.Cluster, u *harness.Upstream) int {
+func runCountOf(c *harness.Cluster, u *harness.Upstream) int {
 	n := 0
 	for _, r := range c.Journal() {
 		if r.Verb == "run" && r.Upstream == u.ID {
@@ -165,30 +165,30 @@
 	return n
 }
 
-// TestRollingRestartCutsNoCall restarts every daemon and every upstream in
+// TestRollingRestartFailsNoCall restarts every daemon and every upstream in
 // turn under load. Callers of the daemon that stops go elsewhere when it asks
 // them to; not one call of theirs or of others may be cut or left unknown.
-func TestRollingRestartCutsNoCall(t *testing.T) {
+func TestRollingRestartFailsNoCall(t *testing.T) {
 	is := is.New(t)
 	c, ups := threeDomains(t, "-delay-ms", "5")
 	for i, v := range c.VMs[:3] {
 		others := []*harness.VM{c.VMs[(i+1)%3], edge(c)}
-		load := harness.StartLoad(12, others, harness.Posts(fmt.Sprint("roll-", i)))
-		own := harness.StartMovingLoad(4, []*harness.VM{v}, others, harness.Posts(fmt.Sprint("own-", i)))
-		load.AwaitMore(t, 100)
-		own.AwaitMore(t, 20)
+		load := harness.StartLoad(12, others, harness.PostCalls(fmt.Sprint("roll-", i)))
+		own := harness.StartFailoverLoad(4, []*harness.VM{v}, others, harness.PostCalls(fmt.Sprint("own-", i)))
+		load.AwaitResponses(t, 100)
+		own.AwaitResponses(t, 20)
 		is.Equal(v.Stop(), 0) // graceful: no call had to be cut
-		load.AwaitMore(t, 100)
+		load.AwaitResponses(t, 100)
 		own.Stop()
 		is.Equal(ups[i].Stop(), 0)
 		v.Start()
 		ups[i] = v.AddUpstream("tickets", "-delay-ms", "5")
 		c.AwaitVersion(1, c.VMs...)
 		c.AwaitUpstreams(3, c.VMs...)
-		load.AwaitMore(t, 100)
+		load.AwaitResponses(t, 100)
 		load.Stop()
-		load.CheckPromises(t, c)
-		own.CheckPromises(t, c)
+		load.CheckGuarantees(t, c)
+		own.CheckGuarantees(t, c)
 		tally := load.Tally()
 		t.Log(v.Name, tally, own.Tally())
 		is.Equal(tally["answered"], load.Count())
@@ -201,18 +201,18 @@
 func TestSilentConnectionsOnCalls(t *testing.T) {
 	is := is.New(t)
 	c, _ := threeDomains(t)
-	load := harness.StartLoad(12, []*harness.VM{edge(c)}, harness.Posts("warm"))
-	load.AwaitMore(t, 300)
+	load := harness.StartLoad(12, []*harness.VM{edge(c)}, harness.PostCalls("warm"))
+	load.AwaitResponses(t, 300)
 	load.Stop()
 	for _, v := range c.VMs {
-		v.Owner.Silence()
+		v.Owner.SilenceConnections()
 	}
-	after := harness.StartLoad(12, []*harness.VM{edge(c)}, harness.Posts("silent"))
+	after := harness.StartLoad(12, []*harness.VM{edge(c)}, harness.PostCalls("silent"))
 	began := time.Now()
-	after.AwaitMore(t, 300)
+	after.AwaitResponses(t, 300)
 	took := time.Since(began)
 	after.Stop()
-	after.CheckPromises(t, c)
+	after.CheckGuarantees(t, c)
 	t.Log(after.Tally(), took)
 	is.Equal(after.Tally()["broken"], 0)
 	is.Equal(after.Tally()["answered"], after.Count())
@@ -222,7 +222,7 @@
 func TestDeadlinesAndCancellationsReachTheUpstream(t *testing.T) {
 	is := is.New(t)
 	c, ups := threeDomains(t)
-	client := harness.NewCaller()
+	client := harness.NewCallerClient()
 	for i, v := range c.VMs {
 		id := fmt.Sprint("late-", i)
 		began := time.Now()
@@ -235,7 +235,7 @@
 		is.Equal(a.Status, http.StatusGatewayTimeout)
 		is.True(time.Since(began) < 2*time.Second) // the answer is not held back
 		awaitVerb(t, c, "cancelled", id)
-		is.Equal(c.Runs()[id], 1)
+		is.Equal(c.RunCounts()[id], 1)
 
 		id = fmt.Sprint("gone-", i)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -256,13 +256,13 @@
 		u.SetDelay(t, 400*time.Millisecond)
 	}
 	load := harness.StartLoad(60, c.VMs, func(n int64) harness.Call {
-		call := harness.Posts("queue")(n)
+		call := harness.PostCalls("queue")(n)
 		call.Header = map[string]string{"Comfrey-Timeout-Ms": "500"}
 		return call
 	})
-	load.AwaitMore(t, 500)
+	load.AwaitResponses(t, 500)
 	load.Stop()
-	load.CheckPromises(t, c)
+	load.CheckGuarantees(t, c)
 	t.Log(load.Tally())
 }
 
--- a/itest/cmd/upstreamd/main.go
+++ b/itest/cmd/upstreamd/main.go
@@ -38,34 +38,34 @@
 	slots := flag.Int("slots", 8, "calls it runs at once")
 	delay := flag.Int64("delay-ms", 0, "time each call takes")
 	journal := flag.String("journal", "", "file to append a line to for every run")
-	back := flag.Int64("back-ms", 400, "how long it is gone after a crash")
+	restartDelayMs := flag.Int64("back-ms", 400, "how long it is gone after a crash")
 	flag.Parse()
 	f, err := os.OpenFile(*journal, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
-	fail(err)
+	exitOnError(err)
 	u := &upstream{journal: f, id: *id, crashed: make(chan struct{}, 1)}
 	u.delay.Store(*delay)
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM)
 	n := agent.Announcement{ID: *id, Service: *service, Slots: *slots, Connections: 10 * *slots}
-	srv := u.start(&n)
-	for announceUntil(*daemon, n, stop, u.crashed) {
+	srv := u.startIncarnation(&n)
+	for announceUntilStopOrCrash(*daemon, n, stop, u.crashed) {
 		// All of a process's connections and its listener end with it.
 		srv.Close()
 		fmt.Fprintf(u.journal, "end - %s\n", u.id)
-		time.Sleep(time.Duration(*back) * time.Millisecond)
-		srv = u.start(&n)
+		time.Sleep(time.Duration(*restartDelayMs) * time.Millisecond)
+		srv = u.startIncarnation(&n)
 	}
-	leave(*daemon, *id)
+	withdraw(*daemon, *id)
 	// Work that the owner admitted before it heard of the leaving arrives
 	// within this time.
 	time.Sleep(200 * time.Millisecond)
-	fail(srv.Shutdown(context.Background()))
+	exitOnError(srv.Shutdown(context.Background()))
 }
 
-// start begins a life of the upstream, at an address of its own.
-func (u *upstream) start(n *agent.Announcement) *http.Server {
+// startIncarnation begins a life of the upstream, at an address of its own.
+func (u *upstream) startIncarnation(n *agent.Announcement) *http.Server {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	fail(err)
+	exitOnError(err)
 	srv := &http.Server{Handler: u}
 	go srv.Serve(ln)
 	fmt.Println(ln.Addr())
@@ -74,17 +74,17 @@
 	return srv
 }
 
-func fail(err error) {
+func exitOnError(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// announceUntil announces the upstream until it stops, or crashes.
-func announceUntil(daemon string, n agent.Announcement, stop <-chan os.Signal, crash <-chan struct{}) (crashed bool) {
+// announceUntilStopOrCrash announces the upstream until it stops, or crashes.
+func announceUntilStopOrCrash(daemon string, n agent.Announcement, stop <-chan os.Signal, crash <-chan struct{}) (crashed bool) {
 	body, err := json.Marshal(n)
-	fail(err)
+	exitOnError(err)
 	ticker := time.NewTicker(200 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -102,9 +102,9 @@
 	}
 }
 
-func leave(daemon, id string) {
+func withdraw(daemon, id string) {
 	req, err := http.NewRequest(http.MethodDelete, "http://"+daemon+"/v1/upstreams/"+id, nil)
-	fail(err)
+	exitOnError(err)
 	if res, err := http.DefaultClient.Do(req); err == nil {
 		res.Body.Close()
 	}
--- a/itest/config_test.go
+++ b/itest/config_test.go
@@ -27,11 +27,11 @@
 		c.AddVM(d+"-2", d)
 	}
 	c.AwaitMembers(6, c.VMs...)
-	c.AwaitVersion(c.VMs[0].Publish(basics), c.VMs...)
+	c.AwaitVersion(c.VMs[0].MustExecute(baseConfig), c.VMs...)
 	return c
 }
 
-func command(t *testing.T, v *harness.VM, id, text string) api.Outcome {
+func runCommand(t *testing.T, v *harness.VM, id, text string) api.Outcome {
 	t.Helper()
 	a, err := v.Client().RunCommand(context.Background(), &api.CommandRequest{Text: text, CommandID: api.NewOptString(id)})
 	if err != nil {
@@ -47,42 +47,42 @@
 	is := is.New(t)
 	c := sixVMs(t)
 	v := c.VMs[0]
-	c.LogFaults(devlog.Faults{Down: true})
+	c.SetLogFaults(devlog.Faults{Down: true})
 	began := time.Now()
-	o := command(t, v, "cmd-1", "publish service stock")
+	o := runCommand(t, v, "cmd-1", "publish service stock")
 	is.Equal(o.Status, api.OutcomeStatusUnknown)
 	is.True(time.Since(began) < 3*time.Second)
-	c.LogFaults(devlog.Faults{LoseAnswers: 1})
-	o = command(t, v, "cmd-1", "publish service stock")
+	c.SetLogFaults(devlog.Faults{LoseAnswers: 1})
+	o = runCommand(t, v, "cmd-1", "publish service stock")
 	is.Equal(o.Status, api.OutcomeStatusUnknown)
 	var version int64
 	for i := range 4 {
-		o = command(t, c.VMs[i], "cmd-1", "publish service stock")
+		o = runCommand(t, c.VMs[i], "cmd-1", "publish service stock")
 		is.Equal(o.Status, api.OutcomeStatusAccepted)
 		is.True(version == 0 || o.Version.Value == version)
 		version = o.Version.Value
 	}
 	c.AwaitVersion(version, c.VMs...)
-	a, err := c.VMs[5].Do("show command cmd-1")
+	a, err := c.VMs[5].Execute("show command cmd-1")
 	is.NoErr(err)
 	is.Equal(len(a.Rows), 1) // one effect, seen everywhere
 	is.Equal(a.Rows[0][1], "accepted")
 }
 
-// TestRacingOperators: operators revise one route through different daemons at
+// TestConcurrentOperators: operators revise one route through different daemons at
 // once. One wins; the others are told which version beat them.
-func TestRacingOperators(t *testing.T) {
+func TestConcurrentOperators(t *testing.T) {
 	is := is.New(t)
 	c := sixVMs(t)
 	for round := range 5 {
-		held := c.VMs[0].Publish(fmt.Sprintf("put service round%d", round))
-		c.AwaitVersion(held, c.VMs...)
+		base := c.VMs[0].MustExecute(fmt.Sprintf("put service round%d", round))
+		c.AwaitVersion(base, c.VMs...)
 		var wg sync.WaitGroup
 		outcomes := make([]api.Outcome, 6)
 		for i, v := range c.VMs {
 			wg.Go(func() {
-				outcomes[i] = command(t, v, fmt.Sprintf("race-%d-%d", round, i),
-					fmt.Sprintf("if version %d revise route tickets path /tickets%d to tickets policy plain callers clerk", held, i))
+				outcomes[i] = runCommand(t, v, fmt.Sprintf("race-%d-%d", round, i),
+					fmt.Sprintf("if version %d revise route tickets path /tickets%d to tickets policy plain callers clerk", base, i))
 			})
 		}
 		wg.Wait()
@@ -103,17 +103,17 @@
 	}
 }
 
-// watcher polls the version that each VM reports and fails on a fall.
-type watcher struct {
-	stop    chan struct{}
-	wg      sync.WaitGroup
-	mu      sync.Mutex
-	highest map[string]int64
-	falls   []string
+// versionWatcher polls the version that each VM reports and fails on a fall.
+type versionWatcher struct {
+	stop      chan struct{}
+	wg        sync.WaitGroup
+	mu        sync.Mutex
+	highest   map[string]int64
+	decreases []string
 }
 
-func watchVersions(vms []*harness.VM) *watcher {
-	w := &watcher{stop: make(chan struct{}), highest: map[string]int64{}}
+func watchVersions(vms []*harness.VM) *versionWatcher {
+	w := &versionWatcher{stop: make(chan struct{}), highest: map[string]int64{}}
 	for _, v := range vms {
 		w.wg.Go(func() {
 			for {
@@ -121,7 +121,7 @@
 				case <-w.stop:
 					return
 				default:
-					w.look(v)
+					w.poll(v)
 				}
 			}
 		})
@@ -129,7 +129,7 @@
 	return w
 }
 
-func (w *watcher) look(v *harness.VM) {
+func (w *versionWatcher) poll(v *harness.VM) {
 	s, err := v.Status()
 	if err != nil || !s.Ready {
 		time.Sleep(5 * time.Millisecond)
@@ -138,29 +138,29 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if s.Version < w.highest[v.Name] {
-		w.falls = append(w.falls, fmt.Sprintf("%s fell from %d to %d", v.Name, w.highest[v.Name], s.Version))
+		w.decreases = append(w.decreases, fmt.Sprintf("%s fell from %d to %d", v.Name, w.highest[v.Name], s.Version))
 	}
 	w.highest[v.Name] = max(w.highest[v.Name], s.Version)
 }
 
-func (w *watcher) end(t *testing.T) {
+func (w *versionWatcher) end(t *testing.T) {
 	t.Helper()
 	close(w.stop)
 	w.wg.Wait()
-	for _, f := range w.falls {
+	for _, f := range w.decreases {
 		t.Error(f)
 	}
 }
 
-// TestVersionsNeverFall publishes all the while, as daemons are killed and
+// TestVersionsNeverDecrease publishes all the while, as daemons are killed and
 // restarted, frozen, and cut off, and the log goes away and forgets.
-func TestVersionsNeverFall(t *testing.T) {
+func TestVersionsNeverDecrease(t *testing.T) {
 	c := sixVMs(t)
 	w := watchVersions(c.VMs)
 	n := 0
 	publish := func(v *harness.VM) int64 {
 		n++
-		return v.Publish(fmt.Sprintf("force put service s%d; put route r%d path /r%d to s%d policy plain callers clerk", n%5, n%5, n%5, n%5))
+		return v.MustExecute(fmt.Sprintf("force put service s%d; put route r%d path /r%d to s%d policy plain callers clerk", n%5, n%5, n%5, n%5))
 	}
 	for i, v := range c.VMs {
 		other := c.VMs[(i+3)%6]
@@ -171,29 +171,29 @@
 		other.Pause()
 		publish(v)
 		other.Resume()
-		c.Cut(func(a, b string) bool { return (a == v.Domain) != (b == v.Domain) })
-		c.CutLog(func(d string) bool { return d == v.Domain })
+		c.Partition(func(a, b string) bool { return (a == v.Domain) != (b == v.Domain) })
+		c.PartitionLog(func(d string) bool { return d == v.Domain })
 		last := publish(other)
 		c.AwaitVersion(last, other)
-		c.Cut(func(string, string) bool { return false })
-		c.CutLog(func(string) bool { return false })
+		c.Partition(func(string, string) bool { return false })
+		c.PartitionLog(func(string) bool { return false })
 		c.AwaitVersion(last, c.VMs...)
 	}
-	c.LogFaults(devlog.Faults{Down: true})
+	c.SetLogFaults(devlog.Faults{Down: true})
 	c.VMs[2].Kill()
 	c.VMs[2].Start()
 	c.AwaitVersion(1, c.VMs[2])
-	c.LogFaults(devlog.Faults{})
+	c.SetLogFaults(devlog.Faults{})
 	c.AwaitVersion(publish(c.VMs[2]), c.VMs...)
 	w.end(t)
 }
 
-// TestEverythingRestarts: the log has forgotten all commands and holds only a
+// TestAllDaemonsRestartFromCheckpoint: the log has forgotten all commands and holds only a
 // checkpoint; then every daemon is killed at once and started at once.
-func TestEverythingRestarts(t *testing.T) {
+func TestAllDaemonsRestartFromCheckpoint(t *testing.T) {
 	is := is.New(t)
 	c := sixVMs(t)
-	version := c.VMs[0].Publish("publish service stock")
+	version := c.VMs[0].MustExecute("publish service stock")
 	c.AwaitVersion(version, c.VMs...)
 	log := store.NewClient(c.LogURL, time.Second, nil)
 	harness.Eventually(t, "checkpoint", func() error {
@@ -213,7 +213,7 @@
 	c.AwaitVersion(version, c.VMs...)
 	t.Log("all in force again after", time.Since(began))
 	// What was withdrawn or added before holds, and commands go on.
-	next := c.VMs[3].Publish("publish route stock path /stock to stock policy plain callers clerk")
+	next := c.VMs[3].MustExecute("publish route stock path /stock to stock policy plain callers clerk")
 	is.True(next > version)
 	c.AwaitVersion(next, c.VMs...)
 }
@@ -238,36 +238,36 @@
 	return 0, fmt.Errorf("no usable checkpoint in %d records", batch.End)
 }
 
-// TestCutOffDomainServesAndReturns cuts a failure domain off from the others
+// TestPartitionedDomainServesAndRejoins cuts a failure domain off from the others
 // and from the platform. It serves its own upstreams on what it holds, and
 // membership that changed on both sides meets afterwards.
-func TestCutOffDomainServesAndReturns(t *testing.T) {
+func TestPartitionedDomainServesAndRejoins(t *testing.T) {
 	is := is.New(t)
 	c := sixVMs(t)
-	cutOff, rest := c.VMs[4], c.VMs[0]
-	cutOff.AddUpstream("tickets")
+	partitioned, rest := c.VMs[4], c.VMs[0]
+	partitioned.AddUpstream("tickets")
 	rest.AddUpstream("tickets")
 	c.AwaitUpstreams(2, c.VMs...)
-	apart := func(a, b string) bool { return (a == "yaba") != (b == "yaba") }
-	c.Cut(apart)
-	c.CutLog(func(d string) bool { return d == "yaba" })
-	version := rest.Publish("publish service stock")
+	separated := func(a, b string) bool { return (a == "yaba") != (b == "yaba") }
+	c.Partition(separated)
+	c.PartitionLog(func(d string) bool { return d == "yaba" })
+	version := rest.MustExecute("publish service stock")
 	c.AwaitVersion(version, c.VMs[:4]...)
 	c.VMs[5].AddUpstream("tickets")
 	c.VMs[1].AddUpstream("tickets")
 	// Each side loses sight of the other and goes on by itself.
 	c.AwaitMembers(2, c.VMs[4:]...)
 	c.AwaitMembers(4, c.VMs[:4]...)
-	load := harness.StartLoad(8, c.VMs, harness.Posts("apart"))
-	load.AwaitMore(t, 400)
+	load := harness.StartLoad(8, c.VMs, harness.PostCalls("apart"))
+	load.AwaitResponses(t, 400)
 	load.Stop()
-	load.CheckPromises(t, c)
+	load.CheckGuarantees(t, c)
 	t.Log(load.Tally())
 	is.Equal(load.Tally()["answered"], load.Count())
-	is.Equal(command(t, cutOff, "from-island", "publish service island").Status, api.OutcomeStatusUnknown)
+	is.Equal(runCommand(t, partitioned, "from-island", "publish service island").Status, api.OutcomeStatusUnknown)
 
-	c.Cut(func(string, string) bool { return false })
-	c.CutLog(func(string) bool { return false })
+	c.Partition(func(string, string) bool { return false })
+	c.PartitionLog(func(string) bool { return false })
 	healed := time.Now()
 	c.AwaitVersion(version, c.VMs...)
 	c.AwaitMembers(6, c.VMs...)
@@ -286,7 +286,7 @@
 		c.AddVM(fmt.Sprintf("ikeja-%d", i), "ikeja")
 	}
 	c.AwaitMembers(5, c.VMs...)
-	c.AwaitVersion(c.VMs[0].Publish(basics), c.VMs...)
+	c.AwaitVersion(c.VMs[0].MustExecute(baseConfig), c.VMs...)
 	var leaf *harness.VM
 	harness.Eventually(t, "three leaves", func() error {
 		leaves := 0
@@ -306,12 +306,12 @@
 		return nil
 	})
 	for _, v := range c.VMs {
-		v.Peers.Silence()
+		v.Peers.SilenceConnections()
 	}
 	began := time.Now()
 	// The leaf reads its command back over a connection that it must first
 	// find silent and replace.
-	version := leaf.Publish("publish service stock")
+	version := leaf.MustExecute("publish service stock")
 	c.AwaitVersion(version, c.VMs...)
 	c.AwaitMembers(5, c.VMs...)
 	t.Log("in force everywhere after", time.Since(began))
@@ -325,8 +325,8 @@
 	is := is.New(t)
 	c := harness.New(t)
 	v := c.AddVM("ikeja-1", "ikeja")
-	c.AwaitVersion(v.Publish(basics), v)
-	a := v.Send(harness.NewCaller(), harness.Call{Method: "POST", Path: "/tickets/1", ID: "early", Caller: "clerk"})
+	c.AwaitVersion(v.MustExecute(baseConfig), v)
+	a := v.Send(harness.NewCallerClient(), harness.Call{Method: "POST", Path: "/tickets/1", ID: "early", Caller: "clerk"})
 	is.Equal(a.Outcome, "not-run")
 	is.Equal(a.Reason, "no-upstream")
 	is.Equal(a.Status, 503)
@@ -336,13 +336,13 @@
 func TestReplacedLogIsReseeded(t *testing.T) {
 	is := is.New(t)
 	c := sixVMs(t)
-	before := c.VMs[0].Publish("publish service stock")
+	before := c.VMs[0].MustExecute("publish service stock")
 	c.AwaitVersion(before, c.VMs...)
 	c.ResetLog()
 	var seeded bool
 	harness.Eventually(t, "reseed", func() error {
 		for _, v := range c.VMs {
-			a, err := v.Do("reseed log")
+			a, err := v.Execute("reseed log")
 			if err != nil {
 				return err
 			}
@@ -355,7 +355,7 @@
 	})
 	is.True(seeded)
 	harness.Eventually(t, "commands go on", func() error {
-		o := command(t, c.VMs[3], "after-reseed", "publish service late")
+		o := runCommand(t, c.VMs[3], "after-reseed", "publish service late")
 		if o.Status != api.OutcomeStatusAccepted {
 			return fmt.Errorf("%s: %s", o.Status, o.Reason.Value)
 		}
--- a/itest/crash_test.go
+++ b/itest/crash_test.go
@@ -24,26 +24,26 @@
 // within 0.2 ms, and the tests below end upstreams without bound where nothing is kept.
 
 const (
-	// told is within which all daemons that can be reached know that a request has
+	// spreadTime is within which all daemons that can be reached know that a request has
 	// ended three upstreams.
-	told = time.Second
-	// moreRuns is how often it may be run after that, over all daemons and restarts.
-	moreRuns = 3
-	// crashPath ends the upstream that runs it after 30 ms.
-	crashPath = "/tickets/crash?crash_ms=30"
+	spreadTime = time.Second
+	// maxLaterRuns is how often it may be run after that, over all daemons and restarts.
+	maxLaterRuns = 3
+	// poisonPath ends the upstream that runs it after 30 ms.
+	poisonPath = "/tickets/crash?crash_ms=30"
 )
 
-// crashers sends copies of a request that ends upstreams to the VMs in turn.
-type crashers struct {
+// poisonSender sends copies of a request that ends upstreams to the VMs in turn.
+type poisonSender struct {
 	c    *harness.Cluster
 	vms  []*harness.VM
 	sent int
 }
 
 // send sends so many copies, one each 50 ms, whatever becomes of them.
-func (s *crashers) send(t *testing.T, copies int) {
+func (s *poisonSender) send(t *testing.T, copies int) {
 	t.Helper()
-	client := harness.NewCaller()
+	client := harness.NewCallerClient()
 	defer client.CloseIdleConnections()
 	var wg sync.WaitGroup
 	for range copies {
@@ -51,7 +51,7 @@
 		id := fmt.Sprintf("crash-%d", s.sent)
 		v := s.vms[s.sent%len(s.vms)]
 		wg.Go(func() {
-			a := v.Send(client, harness.Call{Method: http.MethodGet, Path: crashPath, ID: id, Caller: "clerk"})
+			a := v.Send(client, harness.Call{Method: http.MethodGet, Path: poisonPath, ID: id, Caller: "clerk"})
 			if a.Err == nil && a.Outcome == "answered" {
 				t.Errorf("%s was answered", id)
 			}
@@ -61,29 +61,29 @@
 	wg.Wait()
 }
 
-// runs counts how often copies were run, and the ends of upstreams.
-func (s *crashers) runs() (runs, ends int) {
+// countRuns counts how often copies were run, and the ends of upstreams.
+func (s *poisonSender) countRuns() (runs, crashes int) {
 	for _, r := range s.c.Journal() {
 		switch {
 		case r.Verb == "run" && strings.HasPrefix(r.Request, "crash-"):
 			runs++
 		case r.Verb == "end":
-			ends++
+			crashes++
 		}
 	}
-	return runs, ends
+	return runs, crashes
 }
 
-// endThree sends copies until three upstreams have ended and all may know it. It returns
+// crashThree sends copies until three upstreams have ended and all may know it. It returns
 // the runs so far.
-func (s *crashers) endThree(t *testing.T) int {
+func (s *poisonSender) crashThree(t *testing.T) int {
 	t.Helper()
-	for began := time.Now(); time.Since(began) < harness.Patience; {
+	for began := time.Now(); time.Since(began) < harness.WaitTimeout; {
 		s.send(t, 2)
-		if _, ends := s.runs(); ends >= 3 {
-			s.send(t, int(told/(50*time.Millisecond)))
-			runs, ends := s.runs()
-			t.Logf("%d runs and %d ends until it is known", runs, ends)
+		if _, crashes := s.countRuns(); crashes >= 3 {
+			s.send(t, int(spreadTime/(50*time.Millisecond)))
+			runs, crashes := s.countRuns()
+			t.Logf("%d runs and %d ends until it is known", runs, crashes)
 			return runs
 		}
 	}
@@ -91,12 +91,12 @@
 	return 0
 }
 
-// wants fails the test if copies were run more often than allowed since.
-func (s *crashers) wants(t *testing.T, since int, when string) {
+// checkLaterRuns fails the test if copies were run more often than allowed since.
+func (s *poisonSender) checkLaterRuns(t *testing.T, since int, when string) {
 	t.Helper()
-	runs, ends := s.runs()
-	t.Logf("%s: %d of %d copies were run, %d ends", when, runs, s.sent, ends)
-	if runs-since > moreRuns {
+	runs, crashes := s.countRuns()
+	t.Logf("%s: %d of %d copies were run, %d ends", when, runs, s.sent, crashes)
+	if runs-since > maxLaterRuns {
 		t.Errorf("%s: run %d times more after three upstreams had ended", when, runs-since)
 	}
 }
@@ -113,92 +113,92 @@
 	return c
 }
 
-// TestRequestThatEndsUpstreamsIsStopped sends it at all VMs beside other calls, through a
+// TestPoisonRequestIsQuarantined sends it at all VMs beside other calls, through a
 // restart of every daemon in turn and one of all at once. The calls that run beside it
 // and those that share its path, or its caller, are served.
-func TestRequestThatEndsUpstreamsIsStopped(t *testing.T) {
+func TestPoisonRequestIsQuarantined(t *testing.T) {
 	c := sixUpstreams(t)
-	s := &crashers{c: c, vms: c.VMs}
-	load := harness.StartLoad(12, c.VMs, beside)
-	known := s.endThree(t)
-	load.AwaitMore(t, 500)
+	s := &poisonSender{c: c, vms: c.VMs}
+	load := harness.StartLoad(12, c.VMs, otherCalls)
+	runsBefore := s.crashThree(t)
+	load.AwaitResponses(t, 500)
 	load.Stop()
 	s.send(t, 40)
-	s.wants(t, known, "beside other calls")
-	after := harness.StartLoad(12, c.VMs, beside)
+	s.checkLaterRuns(t, runsBefore, "beside other calls")
+	after := harness.StartLoad(12, c.VMs, otherCalls)
 	s.send(t, 20)
 	after.Stop()
-	s.wants(t, known, "later")
-	if tally := after.Tally(); tally["answered"] < 99*len(after.Answers)/100 {
+	s.checkLaterRuns(t, runsBefore, "later")
+	if tally := after.Tally(); tally["answered"] < 99*len(after.Responses)/100 {
 		t.Errorf("calls beside it after it was known: %v", tally)
 	}
 	for _, v := range c.VMs {
 		v.Kill()
-		restart(c, v)
+		restartDaemon(c, v)
 		c.AwaitMembers(len(c.VMs), v)
 		s.send(t, 6)
 	}
-	s.wants(t, known, "after each daemon has started again")
+	s.checkLaterRuns(t, runsBefore, "after each daemon has started again")
 	for _, v := range c.VMs {
 		v.Kill()
 	}
 	for _, v := range c.VMs {
-		restart(c, v)
+		restartDaemon(c, v)
 	}
 	c.AwaitMembers(len(c.VMs), c.VMs...)
 	c.AwaitUpstreams(len(c.VMs), c.VMs...)
-	time.Sleep(told)
+	time.Sleep(spreadTime)
 	s.send(t, 40)
-	s.wants(t, known, "after all daemons have started again at once")
+	s.checkLaterRuns(t, runsBefore, "after all daemons have started again at once")
 }
 
-// restart starts a VM's daemon, and an upstream that announces itself to it.
-func restart(c *harness.Cluster, v *harness.VM) {
+// restartDaemon starts a VM's daemon, and an upstream that announces itself to it.
+func restartDaemon(c *harness.Cluster, v *harness.VM) {
 	v.Start()
 	v.AddUpstream("tickets", "-delay-ms", "20", "-back-ms", "500")
 }
 
-// TestRequestThatEndsUpstreamsIsStoppedBehindACut lets three upstreams end while one
+// TestPoisonRequestIsQuarantinedAcrossPartition lets three upstreams end while one
 // failure domain reaches the others only through the store, and then sends copies there.
-func TestRequestThatEndsUpstreamsIsStoppedBehindACut(t *testing.T) {
+func TestPoisonRequestIsQuarantinedAcrossPartition(t *testing.T) {
 	c := sixUpstreams(t)
-	c.Cut(func(a, b string) bool { return (a == "yaba") != (b == "yaba") })
-	s := &crashers{c: c, vms: c.VMs[:4]}
-	known := s.endThree(t)
+	c.Partition(func(a, b string) bool { return (a == "yaba") != (b == "yaba") })
+	s := &poisonSender{c: c, vms: c.VMs[:4]}
+	runsBefore := s.crashThree(t)
 	s.vms = c.VMs[4:]
 	s.send(t, 40)
-	s.wants(t, known, "behind a cut")
-	clearedBy(t, c)
+	s.checkLaterRuns(t, runsBefore, "behind a cut")
+	checkOperatorClears(t, c)
 }
 
-// clearedBy lets an operator clear the request at one daemon, and sends it at another.
-func clearedBy(t *testing.T, c *harness.Cluster) {
+// checkOperatorClears lets an operator clear the request at one daemon, and sends it at another.
+func checkOperatorClears(t *testing.T, c *harness.Cluster) {
 	t.Helper()
 	is := is.New(t)
-	c.Cut(func(string, string) bool { return false })
-	held, err := c.VMs[5].Do("show suspects where state = quarantined")
+	c.Partition(func(string, string) bool { return false })
+	quarantined, err := c.VMs[5].Execute("show suspects where state = quarantined")
 	is.NoErr(err)
-	is.Equal(len(held.Rows), 1)
-	digest := held.Rows[0][0]
-	a, err := c.VMs[0].Do("clear suspect " + digest)
+	is.Equal(len(quarantined.Rows), 1)
+	digest := quarantined.Rows[0][0]
+	a, err := c.VMs[0].Execute("clear suspect " + digest)
 	is.NoErr(err)
 	is.Equal(a.Outcome.Value.Status, api.OutcomeStatusAccepted)
-	a, err = c.VMs[0].Do("clear suspect " + digest)
+	a, err = c.VMs[0].Execute("clear suspect " + digest)
 	is.NoErr(err)
 	is.Equal(a.Outcome.Value.Status, api.OutcomeStatusRejected)
 	harness.Eventually(t, "cleared everywhere", func() error {
-		held, err := c.VMs[5].Do("show suspects where state = quarantined")
-		if err == nil && len(held.Rows) > 0 {
-			err = fmt.Errorf("%v", held.Rows)
+		quarantined, err := c.VMs[5].Execute("show suspects where state = quarantined")
+		if err == nil && len(quarantined.Rows) > 0 {
+			err = fmt.Errorf("%v", quarantined.Rows)
 		}
 		return err
 	})
 }
 
-// beside makes calls that are no copies of the request: others by the same caller, of
+// otherCalls makes calls that are no copies of the request: others by the same caller, of
 // which some share its path.
-func beside(n int64) harness.Call {
-	call := harness.Posts("beside")(n)
+func otherCalls(n int64) harness.Call {
+	call := harness.PostCalls("beside")(n)
 	switch n % 4 {
 	case 0:
 		call.Method, call.Path, call.Body = http.MethodGet, fmt.Sprintf("/tickets/%d", n), ""
--- a/itest/fault/fault.go
+++ b/itest/fault/fault.go
@@ -21,34 +21,34 @@
 	DropDown bool
 	// Delay is added to each chunk in both directions.
 	Delay time.Duration
-	// CutDownAfter breaks a connection after that many bytes towards the
+	// CloseAfterBytesDown breaks a connection after that many bytes towards the
 	// client. Zero: never.
-	CutDownAfter int64
+	CloseAfterBytesDown int64
 }
 
-// Decide returns the rule for a client at this IP.
-type Decide func(clientIP string) Rule
+// RuleFunc returns the rule for a client at this IP.
+type RuleFunc func(clientIP string) Rule
 
 // Proxy stands in front of one listener.
 type Proxy struct {
-	ln     net.Listener
-	target atomic.Pointer[string]
-	decide atomic.Pointer[Decide]
+	ln      net.Listener
+	target  atomic.Pointer[string]
+	ruleFor atomic.Pointer[RuleFunc]
 
 	mu    sync.Mutex
-	conns map[*pair]bool
+	conns map[*connPair]bool
 }
 
-// pair is a client's connection and the one to the server.
-type pair struct {
+// connPair is a client's connection and the one to the server.
+type connPair struct {
 	client net.Conn
 	server net.Conn
 	ip     string
 	silent atomic.Bool
-	// lostUp and lostDown are set once bytes were swallowed.
-	lostUp   atomic.Bool
-	lostDown atomic.Bool
-	down     atomic.Int64
+	// droppedUp and lostDown are set once bytes were swallowed.
+	droppedUp   atomic.Bool
+	droppedDown atomic.Bool
+	bytesDown   atomic.Int64
 }
 
 // Listen opens a proxy on a free port of the IP.
@@ -57,8 +57,8 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{ln: ln, conns: map[*pair]bool{}}
-	p.Set(nil)
+	p := &Proxy{ln: ln, conns: map[*connPair]bool{}}
+	p.SetRules(nil)
 	go p.serve()
 	return p, nil
 }
@@ -69,31 +69,31 @@
 // SetTarget sets the address that connections are passed on to.
 func (p *Proxy) SetTarget(addr string) { p.target.Store(&addr) }
 
-// Set replaces the rules; nil heals everything but silenced connections. Open
+// SetRules replaces the rules; nil heals everything but silenced connections. Open
 // connections whose clients are refused now are broken.
-func (p *Proxy) Set(d Decide) {
+func (p *Proxy) SetRules(d RuleFunc) {
 	if d == nil {
 		d = func(string) Rule { return Rule{} }
 	}
-	p.decide.Store(&d)
-	for _, c := range p.open() {
+	p.ruleFor.Store(&d)
+	for _, c := range p.openPairs() {
 		if d(c.ip).Refuse {
 			c.close()
 		}
 	}
 }
 
-// Silence makes the open connections silent for good in both directions,
+// SilenceConnections makes the open connections silent for good in both directions,
 // without closing them. New connections work.
-func (p *Proxy) Silence() {
-	for _, c := range p.open() {
+func (p *Proxy) SilenceConnections() {
+	for _, c := range p.openPairs() {
 		c.silent.Store(true)
 	}
 }
 
-// Break closes the open connections.
-func (p *Proxy) Break() {
-	for _, c := range p.open() {
+// CloseConnections closes the open connections.
+func (p *Proxy) CloseConnections() {
+	for _, c := range p.openPairs() {
 		c.close()
 	}
 }
@@ -101,20 +101,20 @@
 // Close ends the proxy and its connections.
 func (p *Proxy) Close() {
 	p.ln.Close()
-	p.Break()
+	p.CloseConnections()
 }
 
-func (p *Proxy) open() []*pair {
+func (p *Proxy) openPairs() []*connPair {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := make([]*pair, 0, len(p.conns))
+	list := make([]*connPair, 0, len(p.conns))
 	for c := range p.conns {
 		list = append(list, c)
 	}
 	return list
 }
 
-func (p *Proxy) rule(c *pair) Rule { return (*p.decide.Load())(c.ip) }
+func (p *Proxy) rule(c *connPair) Rule { return (*p.ruleFor.Load())(c.ip) }
 
 func (p *Proxy) serve() {
 	for {
@@ -122,13 +122,13 @@
 		if err != nil {
 			return
 		}
-		go p.pass(client)
+		go p.forward(client)
 	}
 }
 
-func (p *Proxy) pass(client net.Conn) {
+func (p *Proxy) forward(client net.Conn) {
 	ip, _, _ := net.SplitHostPort(client.RemoteAddr().String())
-	c := &pair{client: client, ip: ip}
+	c := &connPair{client: client, ip: ip}
 	target := p.target.Load()
 	if target == nil || p.rule(c).Refuse {
 		client.Close()
@@ -150,16 +150,16 @@
 	p.mu.Unlock()
 }
 
-func (c *pair) close() {
+func (c *connPair) close() {
 	c.client.Close()
 	c.server.Close()
 }
 
-// swallows reports whether bytes in this direction are lost.
-func (c *pair) swallows(r Rule, up bool) bool {
-	lost, drop := &c.lostDown, r.DropDown
+// drops reports whether bytes in this direction are lost.
+func (c *connPair) drops(r Rule, up bool) bool {
+	lost, drop := &c.droppedDown, r.DropDown
 	if up {
-		lost, drop = &c.lostUp, r.DropUp
+		lost, drop = &c.droppedUp, r.DropUp
 	}
 	if drop || c.silent.Load() {
 		lost.Store(true)
@@ -167,12 +167,12 @@
 	return lost.Load()
 }
 
-const chunk = 16 << 10
+const chunkBytes = 16 << 10
 
 // copy passes bytes on until either end closes or the rule cuts.
-func (p *Proxy) copy(c *pair, dst io.Writer, src io.Reader, up bool) {
+func (p *Proxy) copy(c *connPair, dst io.Writer, src io.Reader, up bool) {
 	defer c.close()
-	buf := make([]byte, chunk)
+	buf := make([]byte, chunkBytes)
 	for {
 		n, err := src.Read(buf)
 		if err != nil {
@@ -182,20 +182,20 @@
 		if r.Delay > 0 {
 			time.Sleep(r.Delay)
 		}
-		if c.swallows(r, up) {
+		if c.drops(r, up) {
 			continue
 		}
 		out := buf[:n]
-		cut := false
-		if !up && r.CutDownAfter > 0 {
-			left := r.CutDownAfter - c.down.Load()
-			cut = int64(n) >= left
-			out = buf[:max(0, min(int64(n), left))]
+		closeAfter := false
+		if !up && r.CloseAfterBytesDown > 0 {
+			remaining := r.CloseAfterBytesDown - c.bytesDown.Load()
+			closeAfter = int64(n) >= remaining
+			out = buf[:max(0, min(int64(n), remaining))]
 		}
 		if !up {
-			c.down.Add(int64(len(out)))
+			c.bytesDown.Add(int64(len(out)))
 		}
-		if _, err := dst.Write(out); err != nil || cut {
+		if _, err := dst.Write(out); err != nil || closeAfter {
 			return
 		}
 	}
--- a/itest/harness/calls.go
+++ b/itest/harness/calls.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Answer is what a caller got.
-type Answer struct {
+// Response is what a caller got.
+type Response struct {
 	// Addr is where the daemon took calls: each of its lives has its own.
 	Addr    string
 	Status  int
@@ -33,10 +33,10 @@
 	Header map[string]string
 }
 
-// NewCaller returns a client that comes from a caller outside the VMs.
-func NewCaller() *http.Client {
+// NewCallerClient returns a client that comes from a caller outside the VMs.
+func NewCallerClient() *http.Client {
 	return &http.Client{
-		Timeout: Patience,
+		Timeout: WaitTimeout,
 		Transport: &http.Transport{
 			MaxIdleConnsPerHost: 256, DisableCompression: true,
 			DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -45,11 +45,11 @@
 }
 
 // Send makes a call through the VM's daemon.
-func (v *VM) Send(client *http.Client, call Call) Answer {
-	addr := *v.callers.Load()
+func (v *VM) Send(client *http.Client, call Call) Response {
+	addr := *v.callersAddr.Load()
 	req, err := http.NewRequest(call.Method, "http://"+addr+call.Path, strings.NewReader(call.Body))
 	if err != nil {
-		return Answer{Addr: addr, Err: err}
+		return Response{Addr: addr, Err: err}
 	}
 	req.Header.Set("Comfrey-Caller", call.Caller)
 	if call.ID != "" {
@@ -60,11 +60,11 @@
 	}
 	res, err := client.Do(req)
 	if err != nil {
-		return Answer{Addr: addr, Err: err}
+		return Response{Addr: addr, Err: err}
 	}
 	defer res.Body.Close()
 	b, err := io.ReadAll(res.Body)
-	return Answer{
+	return Response{
 		Addr: addr, Status: res.StatusCode, Outcome: res.Header.Get("Comfrey-Outcome"), Reason: res.Header.Get("Comfrey-Reason"),
 		Header: res.Header, Body: string(b), Close: res.Close, Err: err,
 	}
--- a/itest/harness/cluster.go
+++ b/itest/harness/cluster.go
@@ -37,8 +37,8 @@
 	// Settings are lines added to every daemon's settings.
 	Settings string
 	// Probe is the interval of comparisons with a random daemon. Default: 1s.
-	Probe     string
-	upstreams int
+	Probe         string
+	upstreamCount int
 }
 
 // VM is a daemon with its own IP address, and the upstreams beside it.
@@ -48,13 +48,13 @@
 	Domain string
 	IP     string
 	Addrs  agent.Addresses
-	// callers is Addrs.Callers, for calls that are sent while it starts again.
-	callers atomic.Pointer[string]
+	// callersAddr is Addrs.Callers, for calls that are sent while it starts again.
+	callersAddr atomic.Pointer[string]
 	// Peers and Owner stand in front of the listeners for other daemons.
-	Peers *fault.Proxy
-	Owner *fault.Proxy
-	proc  *process
-	lives int
+	Peers        *fault.Proxy
+	Owner        *fault.Proxy
+	proc         *process
+	incarnations int
 }
 
 // Upstream is an upstream process.
@@ -86,7 +86,7 @@
 	}
 	c := &Cluster{T: t, bin: bin, dir: t.ArtifactDir()}
 	c.log = start(t, c.path("log.out"), bin.Log)
-	addr := c.log.line("127.0.0.1:")
+	addr := c.log.awaitLine("127.0.0.1:")
 	c.LogURL = "http://" + addr
 	c.LogProxy = c.proxy("127.0.0.1")
 	c.LogProxy.SetTarget(addr)
@@ -158,17 +158,17 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		c.T.Fatal(err)
 	}
-	v.lives++
+	v.incarnations++
 	c.T.Setenv("COMFREY_TOKEN", Token)
-	v.proc = start(c.T, c.path(fmt.Sprintf("%s.%d.out", v.Name, v.lives)), c.bin.Daemon, "run", "--settings", file)
+	v.proc = start(c.T, c.path(fmt.Sprintf("%s.%d.out", v.Name, v.incarnations)), c.bin.Daemon, "run", "--settings", file)
 	var line struct {
 		Listen agent.Addresses `json:"listen"`
 	}
-	if err := json.Unmarshal([]byte(v.proc.line(`"listen":`)), &line); err != nil {
+	if err := json.Unmarshal([]byte(v.proc.awaitLine(`"listen":`)), &line); err != nil {
 		c.T.Fatal(err)
 	}
 	v.Addrs = line.Listen
-	v.callers.Store(&line.Listen.Callers)
+	v.callersAddr.Store(&line.Listen.Callers)
 	v.Peers.SetTarget(v.Addrs.Peers)
 	v.Owner.SetTarget(v.Addrs.Owner)
 }
@@ -189,13 +189,13 @@
 func (v *VM) AddUpstream(service string, args ...string) *Upstream {
 	c := v.c
 	c.T.Helper()
-	c.upstreams++
-	u := &Upstream{ID: fmt.Sprintf("up%d", c.upstreams)}
+	c.upstreamCount++
+	u := &Upstream{ID: fmt.Sprintf("up%d", c.upstreamCount)}
 	args = append([]string{
 		"-id", u.ID, "-service", service, "-daemon", v.Addrs.Local, "-journal", c.path("journal"),
 	}, args...)
 	u.proc = start(c.T, c.path(u.ID+".out"), c.bin.Upstream, args...)
-	u.Addr = u.proc.line("127.0.0.1:")
+	u.Addr = u.proc.awaitLine("127.0.0.1:")
 	return u
 }
 
@@ -228,24 +228,24 @@
 	res.Body.Close()
 }
 
-// Run is one line of the journal.
-type Run struct {
+// JournalEntry is one line of the journal.
+type JournalEntry struct {
 	Verb     string
 	Request  string
 	Upstream string
 }
 
 // Journal returns what the upstreams did, in order.
-func (c *Cluster) Journal() []Run {
+func (c *Cluster) Journal() []JournalEntry {
 	f, err := os.Open(c.path("journal"))
 	if err != nil {
 		return nil
 	}
 	defer f.Close()
-	var runs []Run
+	var runs []JournalEntry
 	scan := bufio.NewScanner(f)
 	for scan.Scan() {
-		var r Run
+		var r JournalEntry
 		if n, _ := fmt.Sscan(scan.Text(), &r.Verb, &r.Request, &r.Upstream); n == 3 {
 			runs = append(runs, r)
 		}
@@ -253,8 +253,8 @@
 	return runs
 }
 
-// Runs returns how often each request ran.
-func (c *Cluster) Runs() map[string]int {
+// RunCounts returns how often each request ran.
+func (c *Cluster) RunCounts() map[string]int {
 	runs := map[string]int{}
 	for _, r := range c.Journal() {
 		if r.Verb == "run" {
@@ -280,15 +280,15 @@
 	return cl
 }
 
-// Do runs a statement through the VM's daemon.
-func (v *VM) Do(text string) (*api.Answer, error) {
+// Execute runs a statement through the VM's daemon.
+func (v *VM) Execute(text string) (*api.Answer, error) {
 	return v.Client().RunCommand(context.Background(), &api.CommandRequest{Text: text, Author: api.NewOptString("itest")})
 }
 
-// Publish runs a command that must be accepted and returns its version.
-func (v *VM) Publish(text string) int64 {
+// MustExecute runs a command that must be accepted and returns its version.
+func (v *VM) MustExecute(text string) int64 {
 	v.c.T.Helper()
-	a, err := v.Do(text)
+	a, err := v.Execute(text)
 	if err != nil {
 		v.c.T.Fatal(err)
 	}
@@ -341,7 +341,7 @@
 	c.T.Helper()
 	for _, v := range vms {
 		Eventually(c.T, v.Name, func() error {
-			a, err := v.Do("show upstreams where state = live")
+			a, err := v.Execute("show upstreams where state = live")
 			if err != nil {
 				return err
 			}
--- a/itest/harness/faults.go
+++ b/itest/harness/faults.go
@@ -10,56 +10,56 @@
 	"github.com/comfreygate/comfreygate/itest/fault"
 )
 
-// Cut drops everything between VMs of different failure domains for which
+// Partition drops everything between VMs of different failure domains for which
 // apart returns true, and heals the rest.
-func (c *Cluster) Cut(apart func(a, b string) bool) {
+func (c *Cluster) Partition(separated func(a, b string) bool) {
 	domains := map[string]string{}
 	for _, v := range c.VMs {
 		domains[v.IP] = v.Domain
 	}
 	for _, v := range c.VMs {
 		rule := func(ip string) fault.Rule {
-			cut := apart(domains[ip], v.Domain)
+			cut := separated(domains[ip], v.Domain)
 			return fault.Rule{DropUp: cut, DropDown: cut}
 		}
-		v.Peers.Set(rule)
-		v.Owner.Set(rule)
+		v.Peers.SetRules(rule)
+		v.Owner.SetRules(rule)
 	}
 }
 
-// CutLog drops everything between the log and the VMs of failure domains for
+// PartitionLog drops everything between the log and the VMs of failure domains for
 // which cut returns true.
-func (c *Cluster) CutLog(cut func(domain string) bool) {
+func (c *Cluster) PartitionLog(separated func(domain string) bool) {
 	domains := map[string]string{}
 	for _, v := range c.VMs {
 		domains[v.IP] = v.Domain
 	}
-	c.LogProxy.Set(func(ip string) fault.Rule {
-		drop := cut(domains[ip])
+	c.LogProxy.SetRules(func(ip string) fault.Rule {
+		drop := separated(domains[ip])
 		return fault.Rule{DropUp: drop, DropDown: drop}
 	})
 }
 
-// LogFaults makes the log itself fail.
-func (c *Cluster) LogFaults(f devlog.Faults) {
+// SetLogFaults makes the log itself fail.
+func (c *Cluster) SetLogFaults(f devlog.Faults) {
 	c.T.Helper()
 	b, err := json.Marshal(f)
 	if err != nil {
 		c.T.Fatal(err)
 	}
-	c.logDo(http.MethodPut, "/faults", b)
+	c.controlLog(http.MethodPut, "/faults", b)
 }
 
 // ExpireLog makes the log forget all but the last keep records of a stream.
 func (c *Cluster) ExpireLog(stream string, keep int) {
 	c.T.Helper()
-	c.logDo(http.MethodPost, fmt.Sprintf("/expire/%s?keep=%d", stream, keep), nil)
+	c.controlLog(http.MethodPost, fmt.Sprintf("/expire/%s?keep=%d", stream, keep), nil)
 }
 
 // ResetLog makes the log lose everything; offsets begin again.
-func (c *Cluster) ResetLog() { c.logDo(http.MethodPost, "/reset", nil) }
+func (c *Cluster) ResetLog() { c.controlLog(http.MethodPost, "/reset", nil) }
 
-func (c *Cluster) logDo(method, path string, body []byte) {
+func (c *Cluster) controlLog(method, path string, body []byte) {
 	c.T.Helper()
 	req, err := http.NewRequest(method, c.LogURL+path, bytes.NewReader(body))
 	if err != nil {
--- a/itest/harness/load.go
+++ b/itest/harness/load.go
@@ -11,34 +11,34 @@
 // Load sends calls from several callers at once until it is stopped, and
 // keeps every answer.
 type Load struct {
-	stop    chan struct{}
-	wg      sync.WaitGroup
-	sent    atomic.Int64
-	mu      sync.Mutex
-	Answers map[string]Answer
-	Calls   map[string]Call
+	stop      chan struct{}
+	wg        sync.WaitGroup
+	sent      atomic.Int64
+	mu        sync.Mutex
+	Responses map[string]Response
+	Calls     map[string]Call
 }
 
 // StartLoad starts so many callers, each with its own connections, that send
 // one call after the other to the VMs in turn. Next gives the n-th call.
 func StartLoad(callers int, vms []*VM, next func(n int64) Call) *Load {
-	return StartMovingLoad(callers, vms, vms, next)
+	return StartFailoverLoad(callers, vms, vms, next)
 }
 
-// StartMovingLoad is StartLoad with callers that go to other VMs once they are
+// StartFailoverLoad is StartLoad with callers that go to other VMs once they are
 // told to close their connection.
-func StartMovingLoad(callers int, vms, others []*VM, next func(n int64) Call) *Load {
-	l := &Load{stop: make(chan struct{}), Answers: map[string]Answer{}, Calls: map[string]Call{}}
+func StartFailoverLoad(callers int, vms, fallbacks []*VM, next func(n int64) Call) *Load {
+	l := &Load{stop: make(chan struct{}), Responses: map[string]Response{}, Calls: map[string]Call{}}
 	for range callers {
 		l.wg.Add(1)
-		go l.caller(vms, others, next)
+		go l.runCaller(vms, fallbacks, next)
 	}
 	return l
 }
 
-func (l *Load) caller(vms, others []*VM, next func(n int64) Call) {
+func (l *Load) runCaller(vms, fallbacks []*VM, next func(n int64) Call) {
 	defer l.wg.Done()
-	client := NewCaller()
+	client := NewCallerClient()
 	defer client.CloseIdleConnections()
 	for {
 		select {
@@ -50,10 +50,10 @@
 		call := next(n)
 		answer := vms[int(n)%len(vms)].Send(client, call)
 		if answer.Close {
-			vms = others
+			vms = fallbacks
 		}
 		l.mu.Lock()
-		l.Answers[call.ID] = answer
+		l.Responses[call.ID] = answer
 		l.Calls[call.ID] = call
 		l.mu.Unlock()
 	}
@@ -63,11 +63,11 @@
 func (l *Load) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.Answers)
+	return len(l.Responses)
 }
 
-// AwaitMore waits until n more calls were answered.
-func (l *Load) AwaitMore(t testing.TB, n int) {
+// AwaitResponses waits until n more calls were answered.
+func (l *Load) AwaitResponses(t testing.TB, n int) {
 	t.Helper()
 	want := l.Count() + n
 	Eventually(t, "load goes on", func() error {
@@ -102,7 +102,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	tally := map[string]int{}
-	for _, a := range l.Answers {
+	for _, a := range l.Responses {
 		if a.Err != nil {
 			tally["broken"]++
 		} else {
@@ -112,15 +112,15 @@
 	return tally
 }
 
-// CheckPromises holds the answers against the journal: no request that may
+// CheckGuarantees holds the answers against the journal: no request that may
 // not be repeated ran twice, none that was reported as not run ran, and every
 // answer is whole and belongs to its request.
-func (l *Load) CheckPromises(t testing.TB, c *Cluster) {
+func (l *Load) CheckGuarantees(t testing.TB, c *Cluster) {
 	t.Helper()
-	runs := c.Runs()
+	runs := c.RunCounts()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, a := range l.Answers {
+	for id, a := range l.Responses {
 		call := l.Calls[id]
 		if call.Method == http.MethodPost && runs[id] > 1 {
 			t.Errorf("%s ran %d times", id, runs[id])
@@ -147,8 +147,8 @@
 	}
 }
 
-// Posts makes calls that may not be repeated, with bodies that name them.
-func Posts(prefix string) func(n int64) Call {
+// PostCalls makes calls that may not be repeated, with bodies that name them.
+func PostCalls(prefix string) func(n int64) Call {
 	return func(n int64) Call {
 		id := fmt.Sprintf("%s-%d", prefix, n)
 		return Call{Method: http.MethodPost, Path: "/tickets/x", ID: id, Caller: "clerk", Body: "body of " + id}
--- a/itest/harness/process.go
+++ b/itest/harness/process.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// Patience bounds every wait for a condition.
-const Patience = 30 * time.Second
+// WaitTimeout bounds every wait for a condition.
+const WaitTimeout = 30 * time.Second
 
 // Eventually waits until the condition holds; problem says what is missing.
-func Eventually(t testing.TB, what string, problem func() error) {
+func Eventually(t testing.TB, what string, check func() error) {
 	t.Helper()
-	deadline := time.Now().Add(Patience)
+	deadline := time.Now().Add(WaitTimeout)
 	for {
-		err := problem()
+		err := check()
 		if err == nil {
 			return
 		}
@@ -64,10 +64,10 @@
 
 // process is a program that the test started.
 type process struct {
-	t    testing.TB
-	cmd  *exec.Cmd
-	out  string
-	done chan struct{}
+	t          testing.TB
+	cmd        *exec.Cmd
+	outputFile string
+	done       chan struct{}
 }
 
 // start runs a program with its output in a file.
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	f.Close()
-	p := &process{t: t, cmd: cmd, out: out, done: make(chan struct{})}
+	p := &process{t: t, cmd: cmd, outputFile: out, done: make(chan struct{})}
 	go func() {
 		cmd.Wait()
 		close(p.done)
@@ -111,18 +111,18 @@
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
-	case <-time.After(2 * Patience):
-		p.t.Errorf("%s does not stop", p.out)
+	case <-time.After(2 * WaitTimeout):
+		p.t.Errorf("%s does not stop", p.outputFile)
 		p.kill()
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// line waits for a line of output that contains a text.
-func (p *process) line(text string) string {
+// awaitLine waits for a awaitLine of output that contains a text.
+func (p *process) awaitLine(text string) string {
 	var found string
-	Eventually(p.t, p.out, func() error {
-		f, err := os.Open(p.out)
+	Eventually(p.t, p.outputFile, func() error {
+		f, err := os.Open(p.outputFile)
 		if err != nil {
 			return err
 		}
--- a/itest/harness/program.go
+++ b/itest/harness/program.go
@@ -8,23 +8,23 @@
 	"testing"
 )
 
-// run runs a program to its end and returns its output and exit code.
-func run(t testing.TB, program string, args ...string) (string, int) {
+// runToExit runs a program to its end and returns its output and exit code.
+func runToExit(t testing.TB, program string, args ...string) (string, int) {
 	t.Helper()
 	p := start(t, filepath.Join(t.TempDir(), "out"), program, args...)
 	<-p.done
-	return p.text(), p.cmd.ProcessState.ExitCode()
+	return p.output(), p.cmd.ProcessState.ExitCode()
 }
 
-func (p *process) text() string {
-	b, err := os.ReadFile(p.out)
+func (p *process) output() string {
+	b, err := os.ReadFile(p.outputFile)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	return string(b)
 }
 
-func built(t testing.TB) Binaries {
+func mustBuild(t testing.TB) Binaries {
 	t.Helper()
 	b, err := build()
 	if err != nil {
@@ -33,42 +33,46 @@
 	return b
 }
 
-// Daemon runs comfreyd to its end.
-func Daemon(t testing.TB, args ...string) (string, int) { return run(t, built(t).Daemon, args...) }
+// RunDaemon runs comfreyd to its end.
+func RunDaemon(t testing.TB, args ...string) (string, int) {
+	return runToExit(t, mustBuild(t).Daemon, args...)
+}
 
-// Ctl runs comfreyctl.
-func Ctl(t testing.TB, args ...string) (string, int) { return run(t, built(t).Ctl, args...) }
+// RunCtl runs comfreyctl.
+func RunCtl(t testing.TB, args ...string) (string, int) {
+	return runToExit(t, mustBuild(t).Ctl, args...)
+}
 
-// Ctl runs comfreyctl against the VM's daemon.
-func (v *VM) Ctl(args ...string) (string, int) {
+// RunCtl runs comfreyctl against the VM's daemon.
+func (v *VM) RunCtl(args ...string) (string, int) {
 	v.c.T.Helper()
 	v.c.T.Setenv("COMFREY_TOKEN", Token)
-	return Ctl(v.c.T, append([]string{"--address", v.Addrs.Admin}, args...)...)
+	return RunCtl(v.c.T, append([]string{"--address", v.Addrs.Admin}, args...)...)
 }
 
-// Dev is a dev mode that runs.
-type Dev struct{ proc *process }
+// DevMode is a dev mode that runs.
+type DevMode struct{ proc *process }
 
-// StartDev starts the dev mode on free ports.
-func StartDev(t testing.TB) *Dev {
+// StartDevMode starts the dev mode on free ports.
+func StartDevMode(t testing.TB) *DevMode {
 	t.Helper()
-	return &Dev{start(t, filepath.Join(t.TempDir(), "dev.out"), built(t).Daemon,
+	return &DevMode{start(t, filepath.Join(t.TempDir(), "dev.out"), mustBuild(t).Daemon,
 		"dev", "--callers", "127.0.0.1:0", "--admin", "127.0.0.1:0")}
 }
 
 // Output waits until the output has a line with this text and returns all.
-func (d *Dev) Output(until string) string {
-	d.proc.line(until)
-	return strings.TrimSpace(d.proc.text())
+func (d *DevMode) Output(until string) string {
+	d.proc.awaitLine(until)
+	return strings.TrimSpace(d.proc.output())
 }
 
 // Stop ends the dev mode gracefully and returns its exit code.
-func (d *Dev) Stop() int { return d.proc.stop() }
+func (d *DevMode) Stop() int { return d.proc.stop() }
 
 // StopTwice asks the daemon to stop and then to stop at once, and returns its
 // exit code.
 func (v *VM) StopTwice() int {
 	v.proc.signal(syscall.SIGTERM)
-	v.proc.line(`"step":"drain"`)
+	v.proc.awaitLine(`"step":"drain"`)
 	return v.proc.stop()
 }
--- a/itest/path_test.go
+++ b/itest/path_test.go
@@ -11,37 +11,37 @@
 	"github.com/comfreygate/comfreygate/itest/harness"
 )
 
-// basics is a configuration with one service, a route for calls that may be
+// baseConfig is a configuration with one service, a route for calls that may be
 // repeated by their method, and one caller.
-const basics = `publish service tickets;
+const baseConfig = `publish service tickets;
 publish policy plain urgency normal timeout 5s retries 2;
 publish caller clerk;
 publish route tickets path /tickets to tickets policy plain callers clerk`
 
-func TestOperatorToCallerThroughTwoDaemons(t *testing.T) {
+func TestCallThroughTwoDaemonsAfterPublish(t *testing.T) {
 	is := is.New(t)
 	c := harness.New(t)
 	near := c.AddVM("ikeja-1", "ikeja")
 	far := c.AddVM("lekki-1", "lekki")
 	far.AddUpstream("tickets")
 
-	out, code := near.Ctl(strings.Fields(basics)...)
+	out, code := near.RunCtl(strings.Fields(baseConfig)...)
 	is.Equal(code, 0)
 	is.True(strings.Contains(out, "accepted as version 1"))
 	c.AwaitVersion(1, c.VMs...)
 	c.AwaitUpstreams(1, c.VMs...)
 
-	answer := near.Send(harness.NewCaller(), harness.Call{
+	answer := near.Send(harness.NewCallerClient(), harness.Call{
 		Method: "POST", Path: "/tickets/7", ID: "first-call", Caller: "clerk", Body: "doll without arm",
 	})
 	is.NoErr(answer.Err)
 	is.Equal(answer.Status, 200)
 	is.Equal(answer.Outcome, "answered")
 	is.Equal(answer.Body, "first-call\ndoll without arm")
-	is.Equal(fmt.Sprint(c.Runs()), "map[first-call:1]")
+	is.Equal(fmt.Sprint(c.RunCounts()), "map[first-call:1]")
 
-	refused := near.Send(harness.NewCaller(), harness.Call{Method: "GET", Path: "/tickets/7", ID: "stranger", Caller: "nobody"})
+	refused := near.Send(harness.NewCallerClient(), harness.Call{Method: "GET", Path: "/tickets/7", ID: "stranger", Caller: "nobody"})
 	is.Equal(refused.Status, 403)
 	is.Equal(refused.Outcome, "not-run")
-	is.Equal(c.Runs()["stranger"], 0)
+	is.Equal(c.RunCounts()["stranger"], 0)
 }
--- a/itest/product_test.go
+++ b/itest/product_test.go
@@ -15,12 +15,12 @@
 	"github.com/comfreygate/comfreygate/itest/harness"
 )
 
-// TestDevModeWorksAsItSays runs the README's command and does what it prints.
-func TestDevModeWorksAsItSays(t *testing.T) {
+// TestDevModeInstructionsWork runs the README's command and does what it prints.
+func TestDevModeInstructionsWork(t *testing.T) {
 	is := is.New(t)
-	d := harness.StartDev(t)
-	says := d.Output("Stop with Ctrl-C.")
-	curl := regexp.MustCompile(`curl -H '([^:]+): (\w+)' (http://\S+)`).FindStringSubmatch(says)
+	d := harness.StartDevMode(t)
+	instructions := d.Output("Stop with Ctrl-C.")
+	curl := regexp.MustCompile(`curl -H '([^:]+): (\w+)' (http://\S+)`).FindStringSubmatch(instructions)
 	is.Equal(len(curl), 4)
 	req, err := http.NewRequest(http.MethodGet, curl[3], nil)
 	is.NoErr(err)
@@ -29,11 +29,11 @@
 	is.NoErr(err)
 	res.Body.Close()
 	is.Equal(res.StatusCode, http.StatusOK)
-	checkKeys(t, curl[3])
-	lines := regexp.MustCompile(`comfreyctl (--address \S+) (.*)`).FindAllStringSubmatch(says, -1)
+	checkWorkspaceKeys(t, curl[3])
+	lines := regexp.MustCompile(`comfreyctl (--address \S+) (.*)`).FindAllStringSubmatch(instructions, -1)
 	is.True(len(lines) >= 4)
 	for _, line := range lines {
-		out, code := harness.Ctl(t, append(strings.Fields(line[1]), strings.Trim(line[2], "'"))...)
+		out, code := harness.RunCtl(t, append(strings.Fields(line[1]), strings.Trim(line[2], "'"))...)
 		if code != 0 {
 			t.Errorf("%s: exit code %d: %s", line[0], code, out)
 		}
@@ -41,10 +41,10 @@
 	is.Equal(d.Stop(), 0)
 }
 
-// checkKeys calls a route that needs a workspace's key: with none, with one, and with that
+// checkWorkspaceKeys calls a route that needs a workspace's key: with none, with one, and with that
 // of a workspace that has a limit until that is used up. The daemon that prints url
 // takes the calls.
-func checkKeys(t *testing.T, url string) {
+func checkWorkspaceKeys(t *testing.T, url string) {
 	t.Helper()
 	is := is.New(t)
 	status := func(key string) int {
@@ -62,17 +62,17 @@
 	is.Equal(status(""), http.StatusUnauthorized)
 	is.Equal(status("night-batch"), http.StatusUnauthorized)
 	is.Equal(status("front-desk-key"), http.StatusOK)
-	over := 0
+	limited := 0
 	for range 60 {
 		if status("night-batch-key") == http.StatusTooManyRequests {
-			over++
+			limited++
 		}
 	}
-	is.True(over > 0)
+	is.True(limited > 0)
 	is.Equal(status("front-desk-key"), http.StatusOK)
 }
 
-func TestOperatorsMustShowTheirToken(t *testing.T) {
+func TestAdminAPIRequiresToken(t *testing.T) {
 	is := is.New(t)
 	c := harness.New(t)
 	v := c.AddVM("ikeja-1", "ikeja")
@@ -96,12 +96,12 @@
 	is := is.New(t)
 	c := harness.New(t)
 	v := c.AddVM("ikeja-1", "ikeja")
-	version := v.Publish(basics)
+	version := v.MustExecute(baseConfig)
 	c.AwaitVersion(version, v)
 	for _, bad := range []struct {
-		args []string
-		code int
-		says string
+		args       []string
+		code       int
+		wantOutput string
 	}{
 		{[]string{"publish servce x"}, 2, "column 9"},
 		{[]string{"show nothing"}, 2, "no table"},
@@ -110,12 +110,12 @@
 		{[]string{"--output", "xml", "show daemons"}, 2, "output"},
 		{[]string{"apply", "/does/not/exist"}, 2, "exist"},
 	} {
-		out, code := v.Ctl(bad.args...)
-		if code != bad.code || !strings.Contains(out, bad.says) {
-			t.Errorf("%v: exit code %d, %q; want %d, %q", bad.args, code, out, bad.code, bad.says)
+		out, code := v.RunCtl(bad.args...)
+		if code != bad.code || !strings.Contains(out, bad.wantOutput) {
+			t.Errorf("%v: exit code %d, %q; want %d, %q", bad.args, code, out, bad.code, bad.wantOutput)
 		}
 	}
-	client := harness.NewCaller()
+	client := harness.NewCallerClient()
 	for _, bad := range []struct {
 		call   harness.Call
 		status int
@@ -147,9 +147,9 @@
 func TestTimelineShowsCauseBeforeEffect(t *testing.T) {
 	is := is.New(t)
 	c := sixVMs(t)
-	version := c.VMs[4].Publish("publish service stock")
+	version := c.VMs[4].MustExecute("publish service stock")
 	c.AwaitVersion(version, c.VMs...)
-	out, code := c.VMs[0].Ctl("timeline", "--version", fmt.Sprint(version))
+	out, code := c.VMs[0].RunCtl("timeline", "--version", fmt.Sprint(version))
 	is.Equal(code, 0)
 	is.Equal(strings.Count(out, " applied "), 6)
 	is.Equal(strings.Count(out, "command-accepted"), 6)
@@ -174,30 +174,30 @@
 	c.Settings = ""
 	v := c.AddVM("ikeja-1", "ikeja")
 	v.AddUpstream("tickets")
-	c.AwaitVersion(v.Publish(basics), v)
+	c.AwaitVersion(v.MustExecute(baseConfig), v)
 	c.AwaitUpstreams(1, v)
-	held := make(chan harness.Answer, 1)
+	inFlight := make(chan harness.Response, 1)
 	go func() {
-		held <- v.Send(harness.NewCaller(), harness.Call{Method: "POST", Path: "/tickets/x?delay_ms=20000", ID: "held", Caller: "clerk",
+		inFlight <- v.Send(harness.NewCallerClient(), harness.Call{Method: "POST", Path: "/tickets/x?delay_ms=20000", ID: "held", Caller: "clerk",
 			Header: map[string]string{"Comfrey-Timeout-Ms": "5000"}})
 	}()
 	awaitVerb(t, c, "run", "held")
 	began := time.Now()
 	is.Equal(v.StopTwice(), 3)
 	is.True(time.Since(began) < 4*time.Second)
-	<-held
+	<-inFlight
 }
 
-func TestCheckSaysWhatIsWrong(t *testing.T) {
+func TestCheckReportsInvalidSettings(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "settings.yaml")
 	is.NoErr(os.WriteFile(file, []byte("vm: a\nfailure_domain: b\nlog: {url: u}\nlisten:\n  admin: 10.0.0.1:8081\n"), 0o600))
-	out, code := harness.Daemon(t, "check", "--settings", file)
+	out, code := harness.RunDaemon(t, "check", "--settings", file)
 	is.Equal(code, 2)
 	is.True(strings.Contains(out, "listen.admin"))
 	is.True(strings.Contains(out, "token"))
 	is.NoErr(os.WriteFile(file, []byte("vm: a\nfailure_domain: b\nlog: {url: u}\n"), 0o600))
-	out, code = harness.Daemon(t, "check", "--settings", file)
+	out, code = harness.RunDaemon(t, "check", "--settings", file)
 	is.Equal(code, 0)
 	is.True(strings.Contains(out, "good"))
 }
--- a/itest/soak/callers.go
+++ b/itest/soak/callers.go
@@ -17,7 +17,7 @@
 	ended  time.Time
 	vm     int
 	call   harness.Call
-	answer harness.Answer
+	answer harness.Response
 }
 
 // result is how a plot and a tally name what became of a call.
@@ -39,8 +39,8 @@
 	samples []sample
 }
 
-// pace is the pause of a caller between two calls.
-const pace = 10 * time.Millisecond
+// callInterval is the pause of a caller between two calls.
+const callInterval = 10 * time.Millisecond
 
 func startCallers(n int, vms []*harness.VM, prefix string) *callers {
 	c := &callers{vms: vms, prefix: prefix, stop: make(chan struct{})}
@@ -54,9 +54,9 @@
 // run keeps its connection to one VM open, as long as the VM lets it.
 func (c *callers) run(vm int) {
 	defer c.wg.Done()
-	client := harness.NewCaller()
+	client := harness.NewCallerClient()
 	defer client.CloseIdleConnections()
-	tick := time.NewTicker(pace)
+	tick := time.NewTicker(callInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -64,7 +64,7 @@
 			return
 		case <-tick.C:
 		}
-		s := sample{began: time.Now(), vm: vm, call: c.next()}
+		s := sample{began: time.Now(), vm: vm, call: c.nextCall()}
 		s.answer = c.vms[vm].Send(client, s.call)
 		s.ended = time.Now()
 		c.mu.Lock()
@@ -73,10 +73,10 @@
 	}
 }
 
-// next returns a call: every third may be repeated, some have long bodies.
-func (c *callers) next() harness.Call {
+// nextCall returns a call: every third may be repeated, some have long bodies.
+func (c *callers) nextCall() harness.Call {
 	n := c.sent.Add(1)
-	call := harness.Posts(c.prefix)(n)
+	call := harness.PostCalls(c.prefix)(n)
 	call.Path += fmt.Sprintf("?delay_ms=%d", n%9)
 	switch {
 	case n%3 == 0:
@@ -88,28 +88,28 @@
 	return call
 }
 
-// end stops the callers and returns all calls.
-func (c *callers) end() []sample {
+// stopAndCollect stops the callers and returns all calls.
+func (c *callers) stopAndCollect() []sample {
 	close(c.stop)
 	c.wg.Wait()
 	return c.samples
 }
 
-// checkPromises holds the calls against the upstreams' journal, and the versions
+// checkGuarantees holds the calls against the upstreams' journal, and the versions
 // that each life of a daemon answered with against each other.
-func checkPromises(t *testing.T, c *harness.Cluster, samples []sample, lives *lives) {
+func checkGuarantees(t *testing.T, c *harness.Cluster, samples []sample, disrupted *disruptions) {
 	t.Helper()
-	load := harness.Load{Answers: map[string]harness.Answer{}, Calls: map[string]harness.Call{}}
-	runs := c.Runs()
+	load := harness.Load{Responses: map[string]harness.Response{}, Calls: map[string]harness.Call{}}
+	runs := c.RunCounts()
 	versions := map[string]sample{}
 	for _, s := range samples {
-		load.Answers[s.call.ID], load.Calls[s.call.ID] = s.answer, s.call
-		if s.answer.Err != nil && runs[s.call.ID] > 0 && !lives.violent(s.vm, s.began, s.ended) {
+		load.Responses[s.call.ID], load.Calls[s.call.ID] = s.answer, s.call
+		if s.answer.Err != nil && runs[s.call.ID] > 0 && !disrupted.overlaps(s.vm, s.began, s.ended) {
 			t.Errorf("%s ran, and %s cut it with no other fault than a planned stop: %v", s.call.ID, c.VMs[s.vm].Name, s.answer.Err)
 		}
 		checkVersion(t, versions, s)
 	}
-	load.CheckPromises(t, c)
+	load.CheckGuarantees(t, c)
 }
 
 // checkVersion compares a call with the one before, of those that were answered
@@ -119,11 +119,11 @@
 	if s.answer.Err != nil {
 		return
 	}
-	before, ok := newest[s.answer.Addr]
-	if ok && s.began.After(before.ended) && version(s) < version(before) {
-		t.Errorf("%s: version %d after %d", s.answer.Addr, version(s), version(before))
+	previous, ok := newest[s.answer.Addr]
+	if ok && s.began.After(previous.ended) && version(s) < version(previous) {
+		t.Errorf("%s: version %d after %d", s.answer.Addr, version(s), version(previous))
 	}
-	if !ok || version(s) > version(before) {
+	if !ok || version(s) > version(previous) {
 		newest[s.answer.Addr] = s
 	}
 }
--- a/itest/soak/deadly.go
+++ b/itest/soak/deadly.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// deadlyEvery is the pause between two copies of the request that ends upstreams.
-	deadlyEvery = 200 * time.Millisecond
-	// deadlyEnough is how many upstreams may end under it, deadlyMore how often it may be
+	// poisonInterval is the pause between two copies of the request that ends upstreams.
+	poisonInterval = 200 * time.Millisecond
+	// crashesToQuarantine is how many upstreams may end under it, deadlyMore how often it may be
 	// run once all daemons can know of that.
-	deadlyEnough = 3
-	deadlyMore   = 3
-	// deadlyAfter is how many copies are sent when all is healed.
-	deadlyAfter = 24
+	crashesToQuarantine = 3
+	maxLaterPoisonRuns  = 3
+	// laterPoisonCopies is how many copies are sent when all is healed.
+	laterPoisonCopies = 24
 )
 
-// deadly sends copies of a request that ends each upstream which runs it, while faults
+// poisonSender sends copies of a request that ends each upstream which runs it, while faults
 // strike.
-type deadly struct {
+type poisonSender struct {
 	c    *harness.Cluster
 	rng  *rand.Rand
 	sent int
@@ -32,52 +32,52 @@
 	wg   sync.WaitGroup
 }
 
-// startDeadly begins with every other seed.
-func startDeadly(c *harness.Cluster, seed uint64) *deadly {
-	d := &deadly{c: c, rng: rand.New(rand.NewPCG(seed, 1)), stop: make(chan struct{})}
+// startPoison begins with every other seed.
+func startPoison(c *harness.Cluster, seed uint64) *poisonSender {
+	p := &poisonSender{c: c, rng: rand.New(rand.NewPCG(seed, 1)), stop: make(chan struct{})}
 	if seed%2 == 0 {
-		d.wg.Go(d.run)
+		p.wg.Go(p.run)
 	}
-	return d
+	return p
 }
 
-func (d *deadly) run() {
-	tick := time.NewTicker(deadlyEvery)
+func (p *poisonSender) run() {
+	tick := time.NewTicker(poisonInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-d.stop:
+		case <-p.stop:
 			return
 		case <-tick.C:
-			d.send()
+			p.send()
 		}
 	}
 }
 
 // send sends a copy to some VM and leaves it to itself.
-func (d *deadly) send() {
-	d.sent++
-	v := d.c.VMs[d.rng.IntN(len(d.c.VMs))]
+func (p *poisonSender) send() {
+	p.sent++
+	v := p.c.VMs[p.rng.IntN(len(p.c.VMs))]
 	call := harness.Call{
-		Method: http.MethodGet, Path: "/tickets/deadly?crash_ms=30", ID: fmt.Sprint("deadly-", d.sent), Caller: "clerk",
+		Method: http.MethodGet, Path: "/tickets/deadly?crash_ms=30", ID: fmt.Sprint("deadly-", p.sent), Caller: "clerk",
 	}
-	d.wg.Go(func() {
-		client := harness.NewCaller()
+	p.wg.Go(func() {
+		client := harness.NewCallerClient()
 		defer client.CloseIdleConnections()
 		v.Send(client, call)
 	})
 }
 
-// end stops the copies and waits for those on their way.
-func (d *deadly) end() {
-	close(d.stop)
-	d.wg.Wait()
+// stopAndWait stops the copies and waits for those on their way.
+func (p *poisonSender) stopAndWait() {
+	close(p.stop)
+	p.wg.Wait()
 }
 
-// runs counts the runs of copies.
-func (d *deadly) runs() int {
+// runCount counts the runCount of copies.
+func (p *poisonSender) runCount() int {
 	n := 0
-	for _, r := range d.c.Journal() {
+	for _, r := range p.c.Journal() {
 		if r.Verb == "run" && strings.HasPrefix(r.Request, "deadly-") {
 			n++
 		}
@@ -85,21 +85,21 @@
 	return n
 }
 
-// checkDeadly sends copies to daemons that can all know by now what the request did.
-func (w *world) checkDeadly(d *deadly) {
-	w.t.Helper()
-	if d.sent == 0 {
+// checkPoisonQuarantined sends copies to daemons that can all know by now what the request did.
+func (s *soakRun) checkPoisonQuarantined(p *poisonSender) {
+	s.t.Helper()
+	if p.sent == 0 {
 		return
 	}
-	before := d.runs()
-	for range deadlyAfter {
-		d.send()
-		time.Sleep(deadlyEvery / 4)
+	before := p.runCount()
+	for range laterPoisonCopies {
+		p.send()
+		time.Sleep(poisonInterval / 4)
 	}
-	d.wg.Wait()
-	after := d.runs()
-	w.t.Logf("%d copies of a request that ends upstreams: %d runs, %d of them after all was healed", d.sent, after, after-before)
-	if more := after - max(before, deadlyEnough); more > deadlyMore {
-		w.t.Errorf("a request that ends upstreams was run %d times more when all was healed", more)
+	p.wg.Wait()
+	after := p.runCount()
+	s.t.Logf("%d copies of a request that ends upstreams: %d runs, %d of them after all was healed", p.sent, after, after-before)
+	if laterRuns := after - max(before, crashesToQuarantine); laterRuns > maxLaterPoisonRuns {
+		s.t.Errorf("a request that ends upstreams was run %d times more when all was healed", laterRuns)
 	}
 }
--- a/itest/soak/faults.go
+++ b/itest/soak/faults.go
@@ -10,166 +10,166 @@
 	"github.com/comfreygate/comfreygate/itest/harness"
 )
 
-// slowBy is the delay of each chunk on a slow link, and storeSlowBy of each call
+// linkDelay is the delay of each chunk on a slow link, and storeDelayMs of each call
 // to a slow store: under and above the second after which daemons give up.
 const (
-	slowBy      = 80 * time.Millisecond
-	storeSlowBy = 700
+	linkDelay    = 80 * time.Millisecond
+	storeDelayMs = 700
 )
 
-// storm is how many changes follow each other at once.
-const storm = 8
+// changesPerBurst is how many changes follow each other at once.
+const changesPerBurst = 8
 
-// world is a cluster under faults. Only the test's goroutine uses it.
-type world struct {
-	t     *testing.T
-	c     *harness.Cluster
-	ups   []*harness.Upstream
-	lives *lives
+// soakRun is a cluster under faults. Only the test's goroutine uses it.
+type soakRun struct {
+	t           *testing.T
+	c           *harness.Cluster
+	upstreams   []*harness.Upstream
+	disruptions *disruptions
 	// rules and isolated are the faults on connections, by VM.
-	rules    []fault.Rule
-	isolated map[string]int
-	cutStore map[string]int
-	store    devlog.Faults
-	// down says which daemons do not run or are being stopped.
-	down    []bool
-	changes int
-	// version is the newest that was accepted.
-	version int64
+	rules            []fault.Rule
+	domainPartitions map[string]int
+	storePartitions  map[string]int
+	storeFaults      devlog.Faults
+	// daemonDown says which daemons do not run or are being stopped.
+	daemonDown  []bool
+	changeCount int
+	// acceptedVersion is the newest that was accepted.
+	acceptedVersion int64
 }
 
-// begin injects a fault and returns what ends it; nil: it could not strike now.
-func (w *world) begin(e event) (end func()) {
-	v := w.c.VMs[e.VM]
+// inject injects a fault and returns what ends it; nil: it could not strike now.
+func (s *soakRun) inject(e faultEvent) (end func()) {
+	v := s.c.VMs[e.VM]
 	switch e.Kind {
 	case kill, stop, freeze:
-		return w.strikeDaemon(e)
+		return s.injectDaemonFault(e)
 	case reset:
-		v.Owner.Break()
-		v.Peers.Break()
+		v.Owner.CloseConnections()
+		v.Peers.CloseConnections()
 	case silence:
-		v.Owner.Silence()
-		v.Peers.Silence()
+		v.Owner.SilenceConnections()
+		v.Peers.SilenceConnections()
 	case slow:
-		return w.rule(e.VM, fault.Rule{Delay: slowBy})
+		return s.setRule(e.VM, fault.Rule{Delay: linkDelay})
 	case oneWay:
-		return w.rule(e.VM, fault.Rule{DropDown: true})
+		return s.setRule(e.VM, fault.Rule{DropDown: true})
 	case isolate:
-		return w.count(w.isolated, v.Domain, w.applyRules)
+		return s.addPartition(s.domainPartitions, v.Domain, s.applyRules)
 	case crash, leave:
-		return w.strikeUpstream(e)
+		return s.injectUpstreamFault(e)
 	case storeDown:
-		w.store.Down = true
-		w.c.LogFaults(w.store)
-		return func() { w.healStore(func(f *devlog.Faults) { f.Down = false }) }
+		s.storeFaults.Down = true
+		s.c.SetLogFaults(s.storeFaults)
+		return func() { s.clearStoreFault(func(f *devlog.Faults) { f.Down = false }) }
 	case storeSlow:
-		w.store.DelayMs = storeSlowBy
-		w.c.LogFaults(w.store)
-		return func() { w.healStore(func(f *devlog.Faults) { f.DelayMs = 0 }) }
-	case storeLose:
-		w.store.LoseAnswers = 3
-		w.c.LogFaults(w.store)
-		return func() { w.healStore(func(f *devlog.Faults) { f.LoseAnswers = 0 }) }
-	case storeAway:
-		return w.count(w.cutStore, v.Domain, w.applyStoreCuts)
+		s.storeFaults.DelayMs = storeDelayMs
+		s.c.SetLogFaults(s.storeFaults)
+		return func() { s.clearStoreFault(func(f *devlog.Faults) { f.DelayMs = 0 }) }
+	case storeLoseAnswers:
+		s.storeFaults.LoseAnswers = 3
+		s.c.SetLogFaults(s.storeFaults)
+		return func() { s.clearStoreFault(func(f *devlog.Faults) { f.LoseAnswers = 0 }) }
+	case storeUnreachable:
+		return s.addPartition(s.storePartitions, v.Domain, s.applyStorePartitions)
 	case change:
-		w.changeConfig(e.VM)
+		s.changeConfig(e.VM)
 	}
 	return func() {}
 }
 
-func (w *world) strikeDaemon(e event) func() {
-	if w.down[e.VM] {
+func (s *soakRun) injectDaemonFault(e faultEvent) func() {
+	if s.daemonDown[e.VM] {
 		return nil
 	}
-	w.down[e.VM] = true
-	v := w.c.VMs[e.VM]
+	s.daemonDown[e.VM] = true
+	v := s.c.VMs[e.VM]
 	switch e.Kind {
 	case freeze:
-		calm := w.lives.begin(e.VM)
+		endDisruption := s.disruptions.begin(e.VM)
 		v.Pause()
 		return func() {
 			v.Resume()
-			w.down[e.VM] = false
-			calm()
+			s.daemonDown[e.VM] = false
+			endDisruption()
 		}
 	case kill:
-		calm := w.lives.begin(e.VM)
+		endDisruption := s.disruptions.begin(e.VM)
 		v.Kill()
-		return func() { w.restart(e.VM); calm() }
+		return func() { s.restart(e.VM); endDisruption() }
 	}
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
 		if code := v.Stop(); code != 0 {
-			w.t.Errorf("%s: planned stop ended with %d", v.Name, code)
+			s.t.Errorf("%s: planned stop ended with %d", v.Name, code)
 		}
 	}()
 	return func() {
 		<-stopped
-		w.restart(e.VM)
+		s.restart(e.VM)
 	}
 }
 
 // restart starts a VM's daemon again and an upstream beside it.
-func (w *world) restart(vm int) {
-	v := w.c.VMs[vm]
+func (s *soakRun) restart(vm int) {
+	v := s.c.VMs[vm]
 	v.Start()
-	w.down[vm] = false
-	if w.ups[vm] != nil {
-		w.ups[vm].Kill()
-		w.ups[vm] = v.AddUpstream("tickets")
+	s.daemonDown[vm] = false
+	if s.upstreams[vm] != nil {
+		s.upstreams[vm].Kill()
+		s.upstreams[vm] = v.AddUpstream("tickets")
 	}
 }
 
-func (w *world) strikeUpstream(e event) func() {
-	u := w.ups[e.VM]
-	if u == nil || w.down[e.VM] {
+func (s *soakRun) injectUpstreamFault(e faultEvent) func() {
+	u := s.upstreams[e.VM]
+	if u == nil || s.daemonDown[e.VM] {
 		return nil
 	}
-	w.ups[e.VM] = nil
+	s.upstreams[e.VM] = nil
 	if e.Kind == crash {
 		u.Kill()
 	} else {
 		go u.Stop()
 	}
 	return func() {
-		if !w.down[e.VM] {
-			w.ups[e.VM] = w.c.VMs[e.VM].AddUpstream("tickets")
+		if !s.daemonDown[e.VM] {
+			s.upstreams[e.VM] = s.c.VMs[e.VM].AddUpstream("tickets")
 		}
 	}
 }
 
-func (w *world) rule(vm int, r fault.Rule) func() {
-	w.rules[vm] = r
-	w.applyRules()
+func (s *soakRun) setRule(vm int, r fault.Rule) func() {
+	s.rules[vm] = r
+	s.applyRules()
 	return func() {
-		w.rules[vm] = fault.Rule{}
-		w.applyRules()
+		s.rules[vm] = fault.Rule{}
+		s.applyRules()
 	}
 }
 
-// count adds one to what is cut in a failure domain until the fault ends.
-func (w *world) count(cuts map[string]int, domain string, apply func()) func() {
-	cuts[domain]++
+// addPartition adds one to what is cut in a failure domain until the fault ends.
+func (s *soakRun) addPartition(partitions map[string]int, domain string, apply func()) func() {
+	partitions[domain]++
 	apply()
 	return func() {
-		cuts[domain]--
+		partitions[domain]--
 		apply()
 	}
 }
 
-func (w *world) applyRules() {
+func (s *soakRun) applyRules() {
 	domains := map[string]string{}
-	for _, v := range w.c.VMs {
+	for _, v := range s.c.VMs {
 		domains[v.IP] = v.Domain
 	}
 	isolated := map[string]bool{}
-	for d, n := range w.isolated {
+	for d, n := range s.domainPartitions {
 		isolated[d] = n > 0
 	}
-	for i, v := range w.c.VMs {
-		own := w.rules[i]
+	for i, v := range s.c.VMs {
+		own := s.rules[i]
 		decide := func(ip string) fault.Rule {
 			r := own
 			if from := domains[ip]; from != v.Domain && (isolated[from] || isolated[v.Domain]) {
@@ -177,37 +177,37 @@
 			}
 			return r
 		}
-		v.Owner.Set(decide)
-		v.Peers.Set(decide)
+		v.Owner.SetRules(decide)
+		v.Peers.SetRules(decide)
 	}
 }
 
-func (w *world) applyStoreCuts() {
-	cut := map[string]bool{}
-	for d, n := range w.cutStore {
-		cut[d] = n > 0
+func (s *soakRun) applyStorePartitions() {
+	partitioned := map[string]bool{}
+	for d, n := range s.storePartitions {
+		partitioned[d] = n > 0
 	}
-	w.c.CutLog(func(domain string) bool { return cut[domain] })
+	s.c.PartitionLog(func(domain string) bool { return partitioned[domain] })
 }
 
-func (w *world) healStore(heal func(*devlog.Faults)) {
-	heal(&w.store)
-	w.c.LogFaults(w.store)
+func (s *soakRun) clearStoreFault(reset func(*devlog.Faults)) {
+	reset(&s.storeFaults)
+	s.c.SetLogFaults(s.storeFaults)
 }
 
 // changeConfig publishes changes one after the other. Some are rejected or stay
 // unknown while faults last; the newest that was accepted must come into force.
-func (w *world) changeConfig(vm int) {
-	if w.down[vm] {
+func (s *soakRun) changeConfig(vm int) {
+	if s.daemonDown[vm] {
 		return
 	}
-	for range storm {
-		w.changes++
-		text := fmt.Sprintf("put policy plain urgency normal timeout %dms retries 2 repeatable GET", 4000+w.changes)
-		a, err := w.c.VMs[vm].Do(text)
+	for range changesPerBurst {
+		s.changeCount++
+		text := fmt.Sprintf("put policy plain urgency normal timeout %dms retries 2 repeatable GET", 4000+s.changeCount)
+		a, err := s.c.VMs[vm].Execute(text)
 		if err != nil {
 			return // out of reach
 		}
-		w.version = max(w.version, a.Outcome.Value.Version.Or(0))
+		s.acceptedVersion = max(s.acceptedVersion, a.Outcome.Value.Version.Or(0))
 	}
 }
--- a/itest/soak/plot.go
+++ b/itest/soak/plot.go
@@ -9,10 +9,10 @@
 // The plot's measures: a column for each quarter of a second, and a line of
 // text for each fault.
 const (
-	columnTime  = 250 * time.Millisecond
-	columnWidth = 8
-	plotHeight  = 200
-	lineHeight  = 11
+	columnDuration = 250 * time.Millisecond
+	columnWidth    = 8
+	plotHeight     = 200
+	lineHeight     = 11
 )
 
 // colours are those of the results, in the order in which they are stacked.
@@ -21,11 +21,11 @@
 }
 
 // plot draws what became of the calls over time, with the faults below, as SVG.
-func plot(began time.Time, events []event, samples []sample) []byte {
+func plot(began time.Time, events []faultEvent, samples []sample) []byte {
 	columns := map[int]map[string]int{}
 	most, last := 1, 1
 	for _, s := range samples {
-		i := int(s.ended.Sub(began) / columnTime)
+		i := int(s.ended.Sub(began) / columnDuration)
 		if columns[i] == nil {
 			columns[i] = map[string]int{}
 		}
@@ -45,10 +45,10 @@
 		}
 	}
 	for i, e := range events {
-		x := int(e.At/columnTime) * columnWidth
+		x := int(e.At/columnDuration) * columnWidth
 		y := plotHeight + lineHeight*(i+1)
 		fmt.Fprintf(&b, `<rect x="%d" y="%d" width="%d" height="7" fill="#99c"/><text x="%d" y="%d">%s</text>`,
-			x, y-7, max(2, int((e.Until-e.At)/columnTime)*columnWidth), x, y, e)
+			x, y-7, max(2, int((e.Until-e.At)/columnDuration)*columnWidth), x, y, e)
 	}
 	b.WriteString("</svg>\n")
 	return b.Bytes()
--- a/itest/soak/soak_test.go
+++ b/itest/soak/soak_test.go
@@ -27,7 +27,7 @@
 // failedSeeds failed once. Each has a line on the cause.
 var failedSeeds = []uint64{}
 
-const basics = `publish service tickets;
+const baseConfig = `publish service tickets;
 publish policy plain urgency normal timeout 4s retries 2 repeatable GET;
 publish caller clerk;
 publish route tickets path /tickets to tickets policy plain callers clerk`
@@ -35,69 +35,69 @@
 func TestSoak(t *testing.T) {
 	switch {
 	case *seed != 0:
-		play(t, *seed)
+		runSeed(t, *seed)
 	case *seeds > 0 || *minutes > 0:
 		until := time.Now().Add(time.Duration(*minutes * float64(time.Minute)))
 		first := uint64(time.Now().UnixNano())
 		for i := 0; i < *seeds || time.Now().Before(until); i++ {
-			play(t, first+uint64(i))
+			runSeed(t, first+uint64(i))
 		}
 	default:
 		for _, s := range slices.Concat(ciSeeds, failedSeeds) {
-			play(t, s)
+			runSeed(t, s)
 		}
 	}
 }
 
-func play(t *testing.T, seed uint64) {
+func runSeed(t *testing.T, seed uint64) {
 	t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 		length := time.Duration(*seconds) * time.Second
-		w := newWorld(t, *vms)
-		load := startCallers(4**vms, w.c.VMs, fmt.Sprint("s", seed))
-		copies := startDeadly(w.c, seed)
+		s := newSoakRun(t, *vms)
+		load := startCallers(4**vms, s.c.VMs, fmt.Sprint("s", seed))
+		poison := startPoison(s.c, seed)
 		began := time.Now()
 		events := newPlan(seed, *vms, length)
-		struck := w.play(events, began)
+		injected := s.injectFaults(events, began)
 		time.Sleep(time.Until(began.Add(length)))
-		copies.end()
-		w.checkRecovery()
-		w.checkDeadly(copies)
-		samples := load.end()
-		report(t, seed, began, struck, samples)
-		checkPromises(t, w.c, samples, w.lives)
+		poison.stopAndWait()
+		s.checkRecovery()
+		s.checkPoisonQuarantined(poison)
+		samples := load.stopAndCollect()
+		report(t, seed, began, injected, samples)
+		checkGuarantees(t, s.c, samples, s.disruptions)
 	})
 }
 
-// newWorld starts daemons in three failure domains, with an upstream beside two
+// newSoakRun starts daemons in three failure domains, with an upstream beside two
 // of three.
-func newWorld(t *testing.T, vms int) *world {
-	w := &world{
-		t: t, c: harness.New(t), lives: newLives(), isolated: map[string]int{}, cutStore: map[string]int{},
-		ups: make([]*harness.Upstream, vms), down: make([]bool, vms), rules: make([]fault.Rule, vms),
+func newSoakRun(t *testing.T, vms int) *soakRun {
+	s := &soakRun{
+		t: t, c: harness.New(t), disruptions: newDisruptions(), domainPartitions: map[string]int{}, storePartitions: map[string]int{},
+		upstreams: make([]*harness.Upstream, vms), daemonDown: make([]bool, vms), rules: make([]fault.Rule, vms),
 	}
 	n := 0
 	for i := range vms {
-		v := w.c.AddVM(fmt.Sprint("vm-", i), []string{"ikeja", "lekki", "yaba"}[i%3])
+		v := s.c.AddVM(fmt.Sprint("vm-", i), []string{"ikeja", "lekki", "yaba"}[i%3])
 		if i%6 < 4 {
-			w.ups[i] = v.AddUpstream("tickets")
+			s.upstreams[i] = v.AddUpstream("tickets")
 			n++
 		}
 	}
-	w.version = w.c.VMs[0].Publish(basics)
-	w.c.AwaitVersion(w.version, w.c.VMs...)
-	w.c.AwaitMembers(vms, w.c.VMs...)
-	w.c.AwaitUpstreams(n, w.c.VMs...)
-	return w
+	s.acceptedVersion = s.c.VMs[0].MustExecute(baseConfig)
+	s.c.AwaitVersion(s.acceptedVersion, s.c.VMs...)
+	s.c.AwaitMembers(vms, s.c.VMs...)
+	s.c.AwaitUpstreams(n, s.c.VMs...)
+	return s
 }
 
-// play injects the faults at their times and returns those that struck.
-func (w *world) play(events []event, began time.Time) []event {
+// injectFaults injects the faults at their times and returns those that struck.
+func (s *soakRun) injectFaults(events []faultEvent, began time.Time) []faultEvent {
 	type ending struct {
 		at  time.Duration
 		end func()
 	}
 	var endings []ending
-	var struck []event
+	var injected []faultEvent
 	for i := 0; i < len(events) || len(endings) > 0; {
 		slices.SortStableFunc(endings, func(a, b ending) int { return int(a.at - b.at) })
 		if len(endings) > 0 && (i == len(events) || endings[0].at <= events[i].At) {
@@ -109,36 +109,36 @@
 		e := events[i]
 		i++
 		time.Sleep(time.Until(began.Add(e.At)))
-		if end := w.begin(e); end != nil {
+		if end := s.inject(e); end != nil {
 			endings = append(endings, ending{e.Until, end})
-			struck = append(struck, e)
+			injected = append(injected, e)
 		}
 	}
-	return struck
+	return injected
 }
 
-// recoverIn is how many calls in a row each VM must answer once all is healed.
-const recoverIn = 20
+// recoveredAfterCalls is how many calls in a row each VM must answer once all is healed.
+const recoveredAfterCalls = 20
 
 // checkRecovery demands that every daemon comes back to the newest version and
 // to serving its callers.
-func (w *world) checkRecovery() {
-	w.t.Helper()
-	w.c.AwaitVersion(w.version, w.c.VMs...)
-	for _, v := range w.c.VMs {
-		row, n := 0, 0
-		harness.Eventually(w.t, v.Name+" serves", func() error {
+func (s *soakRun) checkRecovery() {
+	s.t.Helper()
+	s.c.AwaitVersion(s.acceptedVersion, s.c.VMs...)
+	for _, v := range s.c.VMs {
+		inRow, n := 0, 0
+		harness.Eventually(s.t, v.Name+" serves", func() error {
 			n++
-			a := v.Send(harness.NewCaller(), harness.Call{
+			a := v.Send(harness.NewCallerClient(), harness.Call{
 				Method: "GET", Path: "/tickets/x", ID: fmt.Sprintf("%s-after-%d", v.Name, n), Caller: "clerk",
 			})
 			if a.Err == nil && a.Outcome == "answered" {
-				row++
+				inRow++
 			} else {
-				row = 0
+				inRow = 0
 			}
-			if row < recoverIn {
-				return fmt.Errorf("answered %d calls in a row, the last one: %s %s %v", row, a.Outcome, a.Reason, a.Err)
+			if inRow < recoveredAfterCalls {
+				return fmt.Errorf("answered %d calls in a row, the last one: %s %s %v", inRow, a.Outcome, a.Reason, a.Err)
 			}
 			return nil
 		})
@@ -146,7 +146,7 @@
 }
 
 // report logs what happened and leaves a plot with the test's artifacts.
-func report(t *testing.T, seed uint64, began time.Time, events []event, samples []sample) {
+func report(t *testing.T, seed uint64, began time.Time, events []faultEvent, samples []sample) {
 	tally := map[string]int{}
 	for _, s := range samples {
 		tally[s.result()]++
