--- a/itest/cmd/logd/main.go
+++ b/itest/cmd/logd/main.go
@@ -1,4 +1,4 @@
-// Command logd is the tests' stand-in for the platform's log service.
+// Command logd serves an in-memory stand-in for the platform's log service to the tests.
 package main
 
 import (
--- a/itest/cmd/upstreamd/main.go
+++ b/itest/cmd/upstreamd/main.go
@@ -1,6 +1,5 @@
-// Command upstreamd is the tests' stand-in for an upstream. It announces
-// itself to the daemon on its VM and appends a line to its journal for every
-// request it runs, before it answers.
+// Command upstreamd is an upstream for the tests. It announces itself to the daemon on its
+// VM, and appends a line to the journal for every request it runs before it answers.
 package main
 
 import (
@@ -25,9 +24,9 @@
 type upstream struct {
 	journal *os.File
 	id      string
-	// delay is added to every answer, in milliseconds.
+	// delay is the time added to every call, in milliseconds.
 	delay atomic.Int64
-	// crashed is told of each crash that a request brought about.
+	// crashed receives a value when a request crashes the upstream.
 	crashed chan struct{}
 }
 
@@ -49,20 +48,20 @@
 	n := agent.Announcement{ID: *id, Service: *service, Slots: *slots, Connections: 10 * *slots}
 	srv := u.startIncarnation(&n)
 	for announceUntilStopOrCrash(*daemon, n, stop, u.crashed) {
-		// All of a process's connections and its listener end with it.
+		// A crashed process loses its listener and all its connections.
 		srv.Close()
 		fmt.Fprintf(u.journal, "end - %s\n", u.id)
 		time.Sleep(time.Duration(*restartDelayMs) * time.Millisecond)
 		srv = u.startIncarnation(&n)
 	}
 	withdraw(*daemon, *id)
-	// Work that the owner admitted before it heard of the leaving arrives
-	// within this time.
+	// Calls that the owner admitted before it received the withdrawal arrive within
+	// this time.
 	time.Sleep(200 * time.Millisecond)
 	exitOnError(srv.Shutdown(context.Background()))
 }
 
-// startIncarnation begins a life of the upstream, at an address of its own.
+// startIncarnation starts an incarnation of the upstream at a new address.
 func (u *upstream) startIncarnation(n *agent.Announcement) *http.Server {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	exitOnError(err)
@@ -81,7 +80,8 @@
 	}
 }
 
-// announceUntilStopOrCrash announces the upstream until it stops, or crashes.
+// announceUntilStopOrCrash announces the upstream to the daemon every 200 ms until it is
+// asked to stop or crashes, and reports whether it crashed.
 func announceUntilStopOrCrash(daemon string, n agent.Announcement, stop <-chan os.Signal, crash <-chan struct{}) (crashed bool) {
 	body, err := json.Marshal(n)
 	exitOnError(err)
@@ -110,10 +110,11 @@
 	}
 }
 
-// ServeHTTP runs a request: "run ID" is journaled, then the body is echoed
-// with the request's ID in front. Parameters: delay_ms; crash_ms to end the whole
-// upstream after that time; cut to break the connection in mid-answer, of an answer of
-// unknown length if it is "chunked".
+// ServeHTTP runs a request: it appends "run", the request ID and the upstream's ID to the
+// journal, then answers with the request ID followed by the request's body. Query
+// parameters: delay_ms adds a delay; crash_ms crashes the upstream after that time; cut
+// closes the connection in the middle of the response, which has no Content-Length if the
+// value is "chunked".
 func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/.delay" {
 		ms, _ := strconv.ParseInt(r.URL.Query().Get("ms"), 10, 64)
@@ -122,7 +123,7 @@
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the request did not arrive whole: not run
+		return // the request arrived incomplete and was not run
 	}
 	request := r.Header.Get("Comfrey-Request-Id")
 	fmt.Fprintf(u.journal, "run %s %s\n", request, u.id)
@@ -155,7 +156,7 @@
 	w.Write(answer)
 }
 
-// crash ends this life of the upstream. Of several at once the first counts.
+// crash ends this incarnation of the upstream. Concurrent crashes count as one.
 func (u *upstream) crash() {
 	select {
 	case u.crashed <- struct{}{}:
--- a/itest/fault/fault.go
+++ b/itest/fault/fault.go
@@ -1,6 +1,6 @@
-// Package fault is a TCP proxy that injects faults between processes: it
-// stands in front of a listener, tells the clients apart by their source
-// address, and delays, cuts, silences or refuses their connections.
+// Package fault is a TCP proxy that injects faults between processes. It accepts
+// connections in place of a listener and delays, closes, silences or refuses them by
+// rules that depend on the client's source address.
 package fault
 
 import (
@@ -11,25 +11,26 @@
 	"time"
 )
 
-// Rule is what happens to a connection.
+// Rule describes the faults injected into a connection.
 type Rule struct {
 	// Refuse closes new connections at once.
 	Refuse bool
-	// DropUp and DropDown swallow bytes towards the server and the client. A
-	// connection that has lost bytes stays silent in that direction for good.
+	// DropUp and DropDown discard bytes towards the server and the client. Once bytes
+	// have been discarded, the connection delivers nothing more in that direction,
+	// because the stream would have a gap.
 	DropUp   bool
 	DropDown bool
-	// Delay is added to each chunk in both directions.
+	// Delay is added to each chunk read, in both directions.
 	Delay time.Duration
-	// CloseAfterBytesDown breaks a connection after that many bytes towards the
-	// client. Zero: never.
+	// CloseAfterBytesDown closes a connection after that many bytes towards the
+	// client. Zero means never.
 	CloseAfterBytesDown int64
 }
 
-// RuleFunc returns the rule for a client at this IP.
+// RuleFunc returns the rule for connections from a client's IP address.
 type RuleFunc func(clientIP string) Rule
 
-// Proxy stands in front of one listener.
+// Proxy forwards connections to one listener.
 type Proxy struct {
 	ln      net.Listener
 	target  atomic.Pointer[string]
@@ -39,19 +40,19 @@
 	conns map[*connPair]bool
 }
 
-// connPair is a client's connection and the one to the server.
+// connPair is a client's connection and the matching connection to the server.
 type connPair struct {
 	client net.Conn
 	server net.Conn
 	ip     string
 	silent atomic.Bool
-	// droppedUp and lostDown are set once bytes were swallowed.
+	// droppedUp and droppedDown are set once bytes have been discarded in that direction.
 	droppedUp   atomic.Bool
 	droppedDown atomic.Bool
 	bytesDown   atomic.Int64
 }
 
-// Listen opens a proxy on a free port of the IP.
+// Listen starts a proxy on a free port of the IP address.
 func Listen(ip string) (*Proxy, error) {
 	ln, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
@@ -63,14 +64,14 @@
 	return p, nil
 }
 
-// Addr returns where the proxy listens.
+// Addr returns the address at which the proxy listens.
 func (p *Proxy) Addr() string { return p.ln.Addr().String() }
 
-// SetTarget sets the address that connections are passed on to.
+// SetTarget sets the address to which new connections are forwarded.
 func (p *Proxy) SetTarget(addr string) { p.target.Store(&addr) }
 
-// SetRules replaces the rules; nil heals everything but silenced connections. Open
-// connections whose clients are refused now are broken.
+// SetRules replaces the rules. A nil function removes all faults, except that silenced
+// connections stay silent. Open connections of clients that are now refused are closed.
 func (p *Proxy) SetRules(d RuleFunc) {
 	if d == nil {
 		d = func(string) Rule { return Rule{} }
@@ -83,8 +84,8 @@
 	}
 }
 
-// SilenceConnections makes the open connections silent for good in both directions,
-// without closing them. New connections work.
+// SilenceConnections discards all further bytes of the open connections in both
+// directions without closing them. New connections are not affected.
 func (p *Proxy) SilenceConnections() {
 	for _, c := range p.openPairs() {
 		c.silent.Store(true)
@@ -98,7 +99,7 @@
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and closes its connections.
 func (p *Proxy) Close() {
 	p.ln.Close()
 	p.CloseConnections()
@@ -155,7 +156,7 @@
 	c.server.Close()
 }
 
-// drops reports whether bytes in this direction are lost.
+// drops reports whether bytes in this direction are discarded.
 func (c *connPair) drops(r Rule, up bool) bool {
 	lost, drop := &c.droppedDown, r.DropDown
 	if up {
@@ -169,7 +170,7 @@
 
 const chunkBytes = 16 << 10
 
-// copy passes bytes on until either end closes or the rule cuts.
+// copy forwards bytes until either end closes or the rule closes the connection.
 func (p *Proxy) copy(c *connPair, dst io.Writer, src io.Reader, up bool) {
 	defer c.close()
 	buf := make([]byte, chunkBytes)
--- a/itest/harness/calls.go
+++ b/itest/harness/calls.go
@@ -8,22 +8,23 @@
 	"time"
 )
 
-// Response is what a caller got.
+// Response is the result of a call as its caller saw it.
 type Response struct {
-	// Addr is where the daemon took calls: each of its lives has its own.
+	// Addr is the address at which the daemon accepted the call. It differs between
+	// incarnations of a daemon.
 	Addr    string
 	Status  int
 	Outcome string
 	Reason  string
 	Header  http.Header
 	Body    string
-	// Close is set if the daemon asked to close the connection.
+	// Close is set if the daemon asked the caller to close the connection.
 	Close bool
-	// Err is set if the connection broke: the caller knows nothing.
+	// Err is set if the connection failed: the caller does not know whether the call ran.
 	Err error
 }
 
-// Call is a call to make.
+// Call is a call to send.
 type Call struct {
 	Method string
 	Path   string
@@ -33,7 +34,7 @@
 	Header map[string]string
 }
 
-// NewCallerClient returns a client that comes from a caller outside the VMs.
+// NewCallerClient returns an HTTP client for a caller outside the VMs.
 func NewCallerClient() *http.Client {
 	return &http.Client{
 		Timeout: WaitTimeout,
@@ -44,7 +45,7 @@
 	}
 }
 
-// Send makes a call through the VM's daemon.
+// Send sends a call to the VM's daemon and returns its result.
 func (v *VM) Send(client *http.Client, call Call) Response {
 	addr := *v.callersAddr.Load()
 	req, err := http.NewRequest(call.Method, "http://"+addr+call.Path, strings.NewReader(call.Body))
--- a/itest/harness/cluster.go
+++ b/itest/harness/cluster.go
@@ -21,22 +21,23 @@
 	"github.com/comfreygate/comfreygate/itest/fault"
 )
 
-// Token is the operators' token of every cluster.
+// Token is the operator token of every cluster.
 const Token = "itest-operator-token"
 
-// Cluster is a log, daemons and upstreams, all processes.
+// Cluster runs a log, daemons and upstreams, each as a process of its own.
 type Cluster struct {
 	T   testing.TB
 	bin Binaries
 	dir string
 	log *process
-	// LogProxy stands in front of the log.
+	// LogProxy forwards the daemons' connections to the log.
 	LogProxy *fault.Proxy
 	LogURL   string
 	VMs      []*VM
-	// Settings are lines added to every daemon's settings.
+	// Settings holds YAML lines that are added to every daemon's settings.
 	Settings string
-	// Probe is the interval of comparisons with a random daemon. Default: 1s.
+	// Probe is the interval at which a daemon compares its state with a random other
+	// daemon. Default: 1s.
 	Probe         string
 	upstreamCount int
 }
@@ -48,9 +49,10 @@
 	Domain string
 	IP     string
 	Addrs  agent.Addresses
-	// callersAddr is Addrs.Callers, for calls that are sent while it starts again.
+	// callersAddr is Addrs.Callers. It is atomic because calls are sent while the daemon
+	// restarts.
 	callersAddr atomic.Pointer[string]
-	// Peers and Owner stand in front of the listeners for other daemons.
+	// Peers and Owner are proxies in front of the daemon's listeners for other daemons.
 	Peers        *fault.Proxy
 	Owner        *fault.Proxy
 	proc         *process
@@ -69,7 +71,7 @@
 	lastIP = 1
 )
 
-// newIP returns a loopback address that no other VM of this test run has.
+// newIP returns a loopback address that no other VM of this test process uses.
 func newIP() string {
 	ipMu.Lock()
 	defer ipMu.Unlock()
@@ -77,7 +79,7 @@
 	return fmt.Sprintf("127.77.%d.%d", lastIP/250, 1+lastIP%250)
 }
 
-// New starts a log.
+// New returns a cluster with a running log and no VMs.
 func New(t testing.TB) *Cluster {
 	t.Helper()
 	bin, err := build()
@@ -104,7 +106,7 @@
 
 func (c *Cluster) path(name string) string { return filepath.Join(c.dir, name) }
 
-// settingsFormat holds short times, so that tests of failures are short.
+// settingsFormat sets short time-outs and intervals, so that failure tests run quickly.
 const settingsFormat = `
 vm: %s
 failure_domain: %s
@@ -134,7 +136,8 @@
 %[8]s
 `
 
-// AddVM starts a daemon. The first two VMs are every daemon's seeds.
+// AddVM adds a VM and starts its daemon. The first two VMs are the seeds that every
+// daemon contacts to join the cluster.
 func (c *Cluster) AddVM(name, domain string) *VM {
 	c.T.Helper()
 	ip := newIP()
@@ -144,7 +147,7 @@
 	return vm
 }
 
-// Start starts the VM's daemon, again after a stop.
+// Start starts the VM's daemon, for the first time or after it was stopped.
 func (v *VM) Start() {
 	c := v.c
 	c.T.Helper()
@@ -173,19 +176,19 @@
 	v.Owner.SetTarget(v.Addrs.Owner)
 }
 
-// Kill ends the daemon at once.
+// Kill sends SIGKILL to the daemon.
 func (v *VM) Kill() { v.proc.kill() }
 
-// Stop ends the daemon gracefully and returns its exit code.
+// Stop stops the daemon gracefully and returns its exit code.
 func (v *VM) Stop() int { return v.proc.stop() }
 
 // Pause freezes the daemon until Resume.
 func (v *VM) Pause() { v.proc.signal(syscall.SIGSTOP) }
 
-// Resume lets a paused daemon go on.
+// Resume resumes a paused daemon.
 func (v *VM) Resume() { v.proc.signal(syscall.SIGCONT) }
 
-// AddUpstream starts an upstream on the VM and waits for its announcement.
+// AddUpstream starts an upstream on the VM and waits until it listens.
 func (v *VM) AddUpstream(service string, args ...string) *Upstream {
 	c := v.c
 	c.T.Helper()
@@ -199,7 +202,7 @@
 	return u
 }
 
-// Withdraw tells the VM's daemon that the upstream leaves; the process goes on.
+// Withdraw withdraws the upstream from the VM's daemon; its process keeps running.
 func (v *VM) Withdraw(u *Upstream) {
 	v.c.T.Helper()
 	req, err := http.NewRequest(http.MethodDelete, "http://"+v.Addrs.Local+"/v1/upstreams/"+u.ID, nil)
@@ -213,13 +216,13 @@
 	res.Body.Close()
 }
 
-// Kill ends the upstream at once.
+// Kill sends SIGKILL to the upstream.
 func (u *Upstream) Kill() { u.proc.kill() }
 
-// Stop ends the upstream gracefully.
+// Stop stops the upstream gracefully and returns its exit code.
 func (u *Upstream) Stop() int { return u.proc.stop() }
 
-// SetDelay changes the time each of the upstream's calls takes.
+// SetDelay sets the time that each call takes at the upstream.
 func (u *Upstream) SetDelay(t testing.TB, d time.Duration) {
 	res, err := http.Get(fmt.Sprintf("http://%s/.delay?ms=%d", u.Addr, d.Milliseconds()))
 	if err != nil {
@@ -228,14 +231,14 @@
 	res.Body.Close()
 }
 
-// JournalEntry is one line of the journal.
+// JournalEntry is one line of the journal that all upstreams write.
 type JournalEntry struct {
 	Verb     string
 	Request  string
 	Upstream string
 }
 
-// Journal returns what the upstreams did, in order.
+// Journal returns the upstreams' journal entries in the order in which they were written.
 func (c *Cluster) Journal() []JournalEntry {
 	f, err := os.Open(c.path("journal"))
 	if err != nil {
@@ -253,7 +256,7 @@
 	return runs
 }
 
-// RunCounts returns how often each request ran.
+// RunCounts returns how often each request ran, by request ID.
 func (c *Cluster) RunCounts() map[string]int {
 	runs := map[string]int{}
 	for _, r := range c.Journal() {
@@ -280,12 +283,13 @@
 	return cl
 }
 
-// Execute runs a statement through the VM's daemon.
+// Execute runs a statement at the VM's daemon.
 func (v *VM) Execute(text string) (*api.Answer, error) {
 	return v.Client().RunCommand(context.Background(), &api.CommandRequest{Text: text, Author: api.NewOptString("itest")})
 }
 
-// MustExecute runs a command that must be accepted and returns its version.
+// MustExecute runs a command, fails the test unless it is accepted, and returns its
+// version.
 func (v *VM) MustExecute(text string) int64 {
 	v.c.T.Helper()
 	a, err := v.Execute(text)
@@ -294,12 +298,12 @@
 	}
 	o := a.Outcome.Value
 	if o.Status != api.OutcomeStatusAccepted {
-		v.c.T.Fatalf("%s: %s %s", text, o.Status, o.Reason.Or(""))
+		v.c.T.Fatalf("command %s: outcome %s, want accepted: %s", text, o.Status, o.Reason.Or(""))
 	}
 	return o.Version.Value
 }
 
-// Status returns what the VM's daemon has in force.
+// Status returns the status of the VM's daemon.
 func (v *VM) Status() (*api.Status, error) { return v.Client().GetStatus(context.Background()) }
 
 // AwaitVersion waits until the VMs have at least this version in force.
@@ -312,14 +316,14 @@
 				return err
 			}
 			if !s.Ready || s.Version < version {
-				return fmt.Errorf("has version %d (ready %v), want %d", s.Version, s.Ready, version)
+				return fmt.Errorf("version %d in force (ready %v), want %d", s.Version, s.Ready, version)
 			}
 			return nil
 		})
 	}
 }
 
-// AwaitMembers waits until the VMs know that many live daemons.
+// AwaitMembers waits until each of the VMs has n live daemons in its membership.
 func (c *Cluster) AwaitMembers(n int, vms ...*VM) {
 	c.T.Helper()
 	for _, v := range vms {
@@ -329,14 +333,14 @@
 				return err
 			}
 			if s.Members != n {
-				return fmt.Errorf("knows %d daemons, want %d", s.Members, n)
+				return fmt.Errorf("%d live daemons in its membership, want %d", s.Members, n)
 			}
 			return nil
 		})
 	}
 }
 
-// AwaitUpstreams waits until the VMs know that many upstreams that take work.
+// AwaitUpstreams waits until each of the VMs lists n live upstreams.
 func (c *Cluster) AwaitUpstreams(n int, vms ...*VM) {
 	c.T.Helper()
 	for _, v := range vms {
@@ -346,7 +350,7 @@
 				return err
 			}
 			if len(a.Rows) != n {
-				return fmt.Errorf("knows %d upstreams, want %d", len(a.Rows), n)
+				return fmt.Errorf("lists %d live upstreams, want %d", len(a.Rows), n)
 			}
 			return nil
 		})
--- a/itest/harness/faults.go
+++ b/itest/harness/faults.go
@@ -10,8 +10,8 @@
 	"github.com/comfreygate/comfreygate/itest/fault"
 )
 
-// Partition drops everything between VMs of different failure domains for which
-// apart returns true, and heals the rest.
+// Partition discards all traffic between the VMs of two failure domains for which
+// separated returns true, and restores all other traffic.
 func (c *Cluster) Partition(separated func(a, b string) bool) {
 	domains := map[string]string{}
 	for _, v := range c.VMs {
@@ -27,8 +27,8 @@
 	}
 }
 
-// PartitionLog drops everything between the log and the VMs of failure domains for
-// which cut returns true.
+// PartitionLog discards all traffic between the log and the VMs of failure domains for
+// which separated returns true.
 func (c *Cluster) PartitionLog(separated func(domain string) bool) {
 	domains := map[string]string{}
 	for _, v := range c.VMs {
@@ -40,7 +40,7 @@
 	})
 }
 
-// SetLogFaults makes the log itself fail.
+// SetLogFaults sets the faults that the log itself injects into its operations.
 func (c *Cluster) SetLogFaults(f devlog.Faults) {
 	c.T.Helper()
 	b, err := json.Marshal(f)
@@ -50,13 +50,13 @@
 	c.controlLog(http.MethodPut, "/faults", b)
 }
 
-// ExpireLog makes the log forget all but the last keep records of a stream.
+// ExpireLog makes the log expire all but the last keep records of a stream.
 func (c *Cluster) ExpireLog(stream string, keep int) {
 	c.T.Helper()
 	c.controlLog(http.MethodPost, fmt.Sprintf("/expire/%s?keep=%d", stream, keep), nil)
 }
 
-// ResetLog makes the log lose everything; offsets begin again.
+// ResetLog makes the log lose all records and restart its offsets.
 func (c *Cluster) ResetLog() { c.controlLog(http.MethodPost, "/reset", nil) }
 
 func (c *Cluster) controlLog(method, path string, body []byte) {
@@ -72,7 +72,7 @@
 	res.Body.Close()
 }
 
-// LogCounts returns how often the log was used.
+// LogCounts returns the log's operation counts.
 func (c *Cluster) LogCounts() devlog.Counts {
 	c.T.Helper()
 	var n devlog.Counts
--- a/itest/harness/load.go
+++ b/itest/harness/load.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Load sends calls from several callers at once until it is stopped, and
-// keeps every answer.
+// Load sends calls from several concurrent callers until it is stopped, and records
+// every response by the ID of its call.
 type Load struct {
 	stop      chan struct{}
 	wg        sync.WaitGroup
@@ -19,14 +19,15 @@
 	Calls     map[string]Call
 }
 
-// StartLoad starts so many callers, each with its own connections, that send
-// one call after the other to the VMs in turn. Next gives the n-th call.
+// StartLoad starts the given number of callers, each with its own connections. Each
+// sends one call at a time; calls go to the VMs in turn. The function next returns the
+// n-th call.
 func StartLoad(callers int, vms []*VM, next func(n int64) Call) *Load {
 	return StartFailoverLoad(callers, vms, vms, next)
 }
 
-// StartFailoverLoad is StartLoad with callers that go to other VMs once they are
-// told to close their connection.
+// StartFailoverLoad is StartLoad with callers that switch to the fallback VMs once a
+// daemon asks them to close their connection.
 func StartFailoverLoad(callers int, vms, fallbacks []*VM, next func(n int64) Call) *Load {
 	l := &Load{stop: make(chan struct{}), Responses: map[string]Response{}, Calls: map[string]Call{}}
 	for range callers {
@@ -59,32 +60,32 @@
 	}
 }
 
-// Count returns how many calls have been answered in some way.
+// Count returns how many calls have completed, failed ones included.
 func (l *Load) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.Responses)
 }
 
-// AwaitResponses waits until n more calls were answered.
+// AwaitResponses waits until n more calls have completed, failed ones included.
 func (l *Load) AwaitResponses(t testing.TB, n int) {
 	t.Helper()
 	want := l.Count() + n
-	Eventually(t, "load goes on", func() error {
+	Eventually(t, "calls under load", func() error {
 		if have := l.Count(); have < want {
-			return fmt.Errorf("%d calls answered, want %d", have, want)
+			return fmt.Errorf("%d calls completed, want %d", have, want)
 		}
 		return nil
 	})
 }
 
-// AwaitOutcome waits until n more calls came out like this.
+// AwaitOutcome waits until n more calls have this outcome.
 func (l *Load) AwaitOutcome(t testing.TB, outcome string, n int) {
 	t.Helper()
 	want := l.Tally()[outcome] + n
 	Eventually(t, "outcome "+outcome, func() error {
 		if have := l.Tally()[outcome]; have < want {
-			return fmt.Errorf("%d calls, want %d", have, want)
+			return fmt.Errorf("%d calls with this outcome, want %d", have, want)
 		}
 		return nil
 	})
@@ -96,8 +97,8 @@
 	l.wg.Wait()
 }
 
-// Tally counts the answers by outcome; "broken" is a connection that ended
-// without a whole answer.
+// Tally counts the responses by outcome; "broken" counts the connections that closed
+// before a complete response.
 func (l *Load) Tally() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,9 +113,9 @@
 	return tally
 }
 
-// CheckGuarantees holds the answers against the journal: no request that may
-// not be repeated ran twice, none that was reported as not run ran, and every
-// answer is whole and belongs to its request.
+// CheckGuarantees compares the responses with the journal: no request that may not be
+// repeated ran twice, no request that was reported as not run ran, and every response
+// is complete and belongs to its request.
 func (l *Load) CheckGuarantees(t testing.TB, c *Cluster) {
 	t.Helper()
 	runs := c.RunCounts()
@@ -123,7 +124,7 @@
 	for id, a := range l.Responses {
 		call := l.Calls[id]
 		if call.Method == http.MethodPost && runs[id] > 1 {
-			t.Errorf("%s ran %d times", id, runs[id])
+			t.Errorf("call %s may not be repeated, but ran %d times", id, runs[id])
 		}
 		if a.Err != nil {
 			continue
@@ -131,23 +132,24 @@
 		switch a.Outcome {
 		case "not-run":
 			if runs[id] != 0 {
-				t.Errorf("%s was reported as not run (%s) and ran", id, a.Reason)
+				t.Errorf("call %s was reported as not run (%s), but ran", id, a.Reason)
 			}
 		case "answered":
 			if want := id + "\n" + call.Body; a.Body != want {
-				t.Errorf("%s got %q", id, a.Body)
+				t.Errorf("call %s: response body is incomplete or belongs to another call: %q", id, a.Body)
 			}
 			if runs[id] == 0 {
-				t.Errorf("%s was answered and never ran", id)
+				t.Errorf("call %s was answered, but no upstream ran it", id)
 			}
 		case "unknown":
 		default:
-			t.Errorf("%s: outcome %q, status %d", id, a.Outcome, a.Status)
+			t.Errorf("call %s: unexpected outcome %q, status %d", id, a.Outcome, a.Status)
 		}
 	}
 }
 
-// PostCalls makes calls that may not be repeated, with bodies that name them.
+// PostCalls returns a generator of calls that may not be repeated. Each body contains
+// the call's ID.
 func PostCalls(prefix string) func(n int64) Call {
 	return func(n int64) Call {
 		id := fmt.Sprintf("%s-%d", prefix, n)
--- a/itest/harness/process.go
+++ b/itest/harness/process.go
@@ -1,5 +1,5 @@
-// Package harness runs the system as real processes for the tests: a log, one
-// daemon per VM with a fault-injecting proxy in front, and upstreams.
+// Package harness runs the system as real processes for the tests: a log, one daemon per
+// VM behind fault-injecting proxies, and upstreams.
 package harness
 
 import (
@@ -18,7 +18,8 @@
 // WaitTimeout bounds every wait for a condition.
 const WaitTimeout = 30 * time.Second
 
-// Eventually waits until the condition holds; problem says what is missing.
+// Eventually waits until check returns nil. After WaitTimeout it fails the test with the
+// last error; what names the condition in the failure message.
 func Eventually(t testing.TB, what string, check func() error) {
 	t.Helper()
 	deadline := time.Now().Add(WaitTimeout)
@@ -34,7 +35,7 @@
 	}
 }
 
-// Binaries are the built programs.
+// Binaries holds the paths of the built programs.
 type Binaries struct{ Daemon, Ctl, Log, Upstream string }
 
 var build = sync.OnceValues(buildAll)
@@ -62,7 +63,7 @@
 	return b, nil
 }
 
-// process is a program that the test started.
+// process is a running or exited program that the test started.
 type process struct {
 	t          testing.TB
 	cmd        *exec.Cmd
@@ -70,7 +71,7 @@
 	done       chan struct{}
 }
 
-// start runs a program with its output in a file.
+// start starts a program whose output goes to the file out.
 func start(t testing.TB, out, program string, args ...string) *process {
 	t.Helper()
 	f, err := os.Create(out)
@@ -100,25 +101,25 @@
 	}
 }
 
-// kill ends the process at once.
+// kill sends SIGKILL to the process and waits for its exit.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// stop ends the process gracefully and returns its exit code.
+// stop sends SIGTERM to the process and returns its exit code.
 func (p *process) stop() int {
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
 	case <-time.After(2 * WaitTimeout):
-		p.t.Errorf("%s does not stop", p.outputFile)
+		p.t.Errorf("%s: process did not exit after SIGTERM; sending SIGKILL", p.outputFile)
 		p.kill()
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// awaitLine waits for a awaitLine of output that contains a text.
+// awaitLine waits for a line of output that contains text, and returns the line.
 func (p *process) awaitLine(text string) string {
 	var found string
 	Eventually(p.t, p.outputFile, func() error {
@@ -134,7 +135,7 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("no line with %q", text)
+		return fmt.Errorf("no output line contains %q", text)
 	})
 	return found
 }
--- a/itest/soak/callers.go
+++ b/itest/soak/callers.go
@@ -11,7 +11,7 @@
 	"github.com/comfreygate/comfreygate/itest/harness"
 )
 
-// sample is one call and what became of it.
+// sample is one call with its response and times.
 type sample struct {
 	began  time.Time
 	ended  time.Time
@@ -20,7 +20,8 @@
 	answer harness.Response
 }
 
-// result is how a plot and a tally name what became of a call.
+// result names the call's outcome in plots and tallies; "broken" is a connection that
+// closed before a complete response.
 func (s sample) result() string {
 	if s.answer.Err != nil {
 		return "broken"
@@ -28,7 +29,7 @@
 	return s.answer.Outcome
 }
 
-// callers send calls to all VMs until they are stopped.
+// callers send calls to all VMs until stopAndCollect is called.
 type callers struct {
 	vms     []*harness.VM
 	prefix  string
@@ -39,7 +40,7 @@
 	samples []sample
 }
 
-// callInterval is the pause of a caller between two calls.
+// callInterval is the interval between two calls of a caller.
 const callInterval = 10 * time.Millisecond
 
 func startCallers(n int, vms []*harness.VM, prefix string) *callers {
@@ -51,7 +52,7 @@
 	return c
 }
 
-// run keeps its connection to one VM open, as long as the VM lets it.
+// run sends calls to one VM, over a connection that stays open until the VM closes it.
 func (c *callers) run(vm int) {
 	defer c.wg.Done()
 	client := harness.NewCallerClient()
@@ -73,7 +74,8 @@
 	}
 }
 
-// nextCall returns a call: every third may be repeated, some have long bodies.
+// nextCall returns the next call. Every third call may be repeated; some calls have long
+// bodies.
 func (c *callers) nextCall() harness.Call {
 	n := c.sent.Add(1)
 	call := harness.PostCalls(c.prefix)(n)
@@ -88,15 +90,16 @@
 	return call
 }
 
-// stopAndCollect stops the callers and returns all calls.
+// stopAndCollect stops the callers and returns the samples of all calls.
 func (c *callers) stopAndCollect() []sample {
 	close(c.stop)
 	c.wg.Wait()
 	return c.samples
 }
 
-// checkGuarantees holds the calls against the upstreams' journal, and the versions
-// that each life of a daemon answered with against each other.
+// checkGuarantees compares the calls with the upstreams' journal. It also checks that the
+// versions in the responses of each incarnation of a daemon never decrease, and that no
+// call that ran lost its connection unless its daemon was disrupted at that time.
 func checkGuarantees(t *testing.T, c *harness.Cluster, samples []sample, disrupted *disruptions) {
 	t.Helper()
 	load := harness.Load{Responses: map[string]harness.Response{}, Calls: map[string]harness.Call{}}
@@ -105,15 +108,15 @@
 	for _, s := range samples {
 		load.Responses[s.call.ID], load.Calls[s.call.ID] = s.answer, s.call
 		if s.answer.Err != nil && runs[s.call.ID] > 0 && !disrupted.overlaps(s.vm, s.began, s.ended) {
-			t.Errorf("%s ran, and %s cut it with no other fault than a planned stop: %v", s.call.ID, c.VMs[s.vm].Name, s.answer.Err)
+			t.Errorf("call %s ran, but %s closed its connection and was neither killed nor frozen at that time: %v", s.call.ID, c.VMs[s.vm].Name, s.answer.Err)
 		}
 		checkVersion(t, versions, s)
 	}
 	load.CheckGuarantees(t, c)
 }
 
-// checkVersion compares a call with the one before, of those that were answered
-// by the same life of a daemon, one after the other.
+// checkVersion checks that a response's version is not lower than that of a call which the
+// same incarnation of a daemon had answered before this call began.
 func checkVersion(t *testing.T, newest map[string]sample, s sample) {
 	t.Helper()
 	if s.answer.Err != nil {
@@ -121,7 +124,7 @@
 	}
 	previous, ok := newest[s.answer.Addr]
 	if ok && s.began.After(previous.ended) && version(s) < version(previous) {
-		t.Errorf("%s: version %d after %d", s.answer.Addr, version(s), version(previous))
+		t.Errorf("daemon at %s answered with version %d after version %d", s.answer.Addr, version(s), version(previous))
 	}
 	if !ok || version(s) > version(previous) {
 		newest[s.answer.Addr] = s
--- a/itest/soak/deadly.go
+++ b/itest/soak/deadly.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// poisonInterval is the pause between two copies of the request that ends upstreams.
+	// poisonInterval is the interval between two copies of the poison request.
 	poisonInterval = 200 * time.Millisecond
-	// crashesToQuarantine is how many upstreams may end under it, deadlyMore how often it may be
-	// run once all daemons can know of that.
+	// crashesToQuarantine is how many upstreams the request may crash before it is
+	// quarantined. maxLaterPoisonRuns bounds its runs after the quarantine can be known
+	// to all daemons.
 	crashesToQuarantine = 3
 	maxLaterPoisonRuns  = 3
-	// laterPoisonCopies is how many copies are sent when all is healed.
+	// laterPoisonCopies is how many copies are sent after all faults have ended.
 	laterPoisonCopies = 24
 )
 
-// poisonSender sends copies of a request that ends each upstream which runs it, while faults
-// strike.
+// poisonSender sends copies of a poison request, which crashes each upstream that runs it,
+// while faults are injected.
 type poisonSender struct {
 	c    *harness.Cluster
 	rng  *rand.Rand
@@ -32,7 +33,7 @@
 	wg   sync.WaitGroup
 }
 
-// startPoison begins with every other seed.
+// startPoison returns a sender, which sends copies at intervals if the seed is even.
 func startPoison(c *harness.Cluster, seed uint64) *poisonSender {
 	p := &poisonSender{c: c, rng: rand.New(rand.NewPCG(seed, 1)), stop: make(chan struct{})}
 	if seed%2 == 0 {
@@ -54,7 +55,7 @@
 	}
 }
 
-// send sends a copy to some VM and leaves it to itself.
+// send sends a copy to a random VM without waiting for the response.
 func (p *poisonSender) send() {
 	p.sent++
 	v := p.c.VMs[p.rng.IntN(len(p.c.VMs))]
@@ -68,13 +69,13 @@
 	})
 }
 
-// stopAndWait stops the copies and waits for those on their way.
+// stopAndWait stops the sender and waits for the copies in flight.
 func (p *poisonSender) stopAndWait() {
 	close(p.stop)
 	p.wg.Wait()
 }
 
-// runCount counts the runCount of copies.
+// runCount returns how often upstreams have run copies.
 func (p *poisonSender) runCount() int {
 	n := 0
 	for _, r := range p.c.Journal() {
@@ -85,7 +86,8 @@
 	return n
 }
 
-// checkPoisonQuarantined sends copies to daemons that can all know by now what the request did.
+// checkPoisonQuarantined sends further copies after all faults have ended, when every
+// daemon can know of the quarantine, and checks that they are hardly run any more.
 func (s *soakRun) checkPoisonQuarantined(p *poisonSender) {
 	s.t.Helper()
 	if p.sent == 0 {
@@ -98,8 +100,8 @@
 	}
 	p.wg.Wait()
 	after := p.runCount()
-	s.t.Logf("%d copies of a request that ends upstreams: %d runs, %d of them after all was healed", p.sent, after, after-before)
+	s.t.Logf("%d copies of a poison request: %d runs, %d of them after all faults had ended", p.sent, after, after-before)
 	if laterRuns := after - max(before, crashesToQuarantine); laterRuns > maxLaterPoisonRuns {
-		s.t.Errorf("a request that ends upstreams was run %d times more when all was healed", laterRuns)
+		s.t.Errorf("poison request was run %d more times after all faults had ended", laterRuns)
 	}
 }
--- a/itest/soak/faults.go
+++ b/itest/soak/faults.go
@@ -10,35 +10,39 @@
 	"github.com/comfreygate/comfreygate/itest/harness"
 )
 
-// linkDelay is the delay of each chunk on a slow link, and storeDelayMs of each call
-// to a slow store: under and above the second after which daemons give up.
+// linkDelay is the delay of each chunk on a slow link, and storeDelayMs that of each call
+// to a slow store. Daemons give up after 1 s: one such delay stays below that, several in
+// succession exceed it.
 const (
 	linkDelay    = 80 * time.Millisecond
 	storeDelayMs = 700
 )
 
-// changesPerBurst is how many changes follow each other at once.
+// changesPerBurst is how many configuration changes are made in immediate succession.
 const changesPerBurst = 8
 
-// soakRun is a cluster under faults. Only the test's goroutine uses it.
+// soakRun is a cluster with the faults injected into it. Only the test's goroutine uses it.
 type soakRun struct {
 	t           *testing.T
 	c           *harness.Cluster
 	upstreams   []*harness.Upstream
 	disruptions *disruptions
-	// rules and isolated are the faults on connections, by VM.
+	// rules holds the faults on connections by VM. domainPartitions and storePartitions
+	// count, by failure domain, the faults that currently partition the domain from the
+	// other domains and from the store.
 	rules            []fault.Rule
 	domainPartitions map[string]int
 	storePartitions  map[string]int
 	storeFaults      devlog.Faults
-	// daemonDown says which daemons do not run or are being stopped.
+	// daemonDown marks the VMs whose daemon is frozen, not running or being stopped.
 	daemonDown  []bool
 	changeCount int
-	// acceptedVersion is the newest that was accepted.
+	// acceptedVersion is the newest version that was accepted.
 	acceptedVersion int64
 }
 
-// inject injects a fault and returns what ends it; nil: it could not strike now.
+// inject injects a fault and returns a function that ends it, or nil if the fault does not
+// apply to the VM's present state.
 func (s *soakRun) inject(e faultEvent) (end func()) {
 	v := s.c.VMs[e.VM]
 	switch e.Kind {
@@ -102,7 +106,7 @@
 	go func() {
 		defer close(stopped)
 		if code := v.Stop(); code != 0 {
-			s.t.Errorf("%s: planned stop ended with %d", v.Name, code)
+			s.t.Errorf("%s: graceful stop returned exit code %d, want 0", v.Name, code)
 		}
 	}()
 	return func() {
@@ -111,7 +115,7 @@
 	}
 }
 
-// restart starts a VM's daemon again and an upstream beside it.
+// restart starts a VM's daemon again, and replaces the upstream on the VM if it has one.
 func (s *soakRun) restart(vm int) {
 	v := s.c.VMs[vm]
 	v.Start()
@@ -149,7 +153,8 @@
 	}
 }
 
-// addPartition adds one to what is cut in a failure domain until the fault ends.
+// addPartition counts a partition of the failure domain until the returned function is
+// called. Partitions of one domain may overlap.
 func (s *soakRun) addPartition(partitions map[string]int, domain string, apply func()) func() {
 	partitions[domain]++
 	apply()
@@ -195,8 +200,8 @@
 	s.c.SetLogFaults(s.storeFaults)
 }
 
-// changeConfig publishes changes one after the other. Some are rejected or stay
-// unknown while faults last; the newest that was accepted must come into force.
+// changeConfig publishes changes one after the other. During faults some are rejected or
+// have an unknown outcome; the newest accepted version must come into force everywhere.
 func (s *soakRun) changeConfig(vm int) {
 	if s.daemonDown[vm] {
 		return
@@ -206,7 +211,7 @@
 		text := fmt.Sprintf("put policy plain urgency normal timeout %dms retries 2 repeatable GET", 4000+s.changeCount)
 		a, err := s.c.VMs[vm].Execute(text)
 		if err != nil {
-			return // out of reach
+			return // daemon unreachable
 		}
 		s.acceptedVersion = max(s.acceptedVersion, a.Outcome.Value.Version.Or(0))
 	}
--- a/itest/soak/lives.go
+++ b/itest/soak/lives.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// interval is a time in which a daemon was killed or did not run.
+// interval is a time during which a daemon was frozen, or killed and not yet restarted.
 type interval struct{ from, until time.Time }
 
-// disruptions remembers when callers of a VM may be cut without a fault of ours.
+// disruptions records when a VM's daemon was killed or frozen, so that callers may lose
+// their connections although the daemon handles them correctly.
 type disruptions struct {
 	mu        sync.Mutex
 	intervals map[int][]*interval
@@ -16,8 +17,8 @@
 
 func newDisruptions() *disruptions { return &disruptions{intervals: map[int][]*interval{}} }
 
-// begin notes that the VM's daemon is treated violently until the returned
-// function is called.
+// begin records that the VM's daemon is killed or frozen until the returned function is
+// called.
 func (d *disruptions) begin(vm int) (end func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -30,7 +31,8 @@
 	}
 }
 
-// overlaps reports whether a call in this time may have been cut by violence.
+// overlaps reports whether the VM's daemon was killed or frozen at any time between from
+// and until.
 func (d *disruptions) overlaps(vm int, from, until time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/itest/soak/plan.go
+++ b/itest/soak/plan.go
@@ -1,6 +1,6 @@
-// Package soak runs the system as real processes, injects random faults from
-// outside them, in series and overlapping, and holds what callers and upstreams
-// saw against what comfreygate promises. A seed gives the faults and their times.
+// Package soak runs the system as real processes, injects random faults from outside them,
+// in sequence and overlapping, and checks what callers and upstreams observed against the
+// guarantees of comfreygate. A seed determines the faults and their times.
 package soak
 
 import (
@@ -10,27 +10,26 @@
 	"time"
 )
 
-// faultKind is a faultKind of fault.
 type faultKind string
 
-// The kinds. The first ones strike a VM's daemon, the next its connections with
-// other daemons, then upstreams, the store and the configuration.
+// The kinds of faults: of a VM's daemon, of its connections with other daemons, of
+// upstreams, of the store, and changes of the configuration.
 const (
-	kill             faultKind = "kill"      // SIGKILL, started again at the end
-	stop             faultKind = "stop"      // SIGTERM, started again at the end
+	kill             faultKind = "kill"      // SIGKILL, restarted at the end
+	stop             faultKind = "stop"      // SIGTERM, restarted at the end
 	freeze           faultKind = "freeze"    // SIGSTOP, SIGCONT at the end
-	reset            faultKind = "reset"     // connections broken once
-	silence          faultKind = "silence"   // open connections silent for good
+	reset            faultKind = "reset"     // open connections are closed
+	silence          faultKind = "silence"   // open connections stay open, but carry no more bytes
 	slow             faultKind = "slow"      // each chunk is delayed
-	oneWay           faultKind = "one-way"   // nothing comes back
-	isolate          faultKind = "isolate"   // nothing passes between its domain and others
-	crash            faultKind = "crash"     // an upstream dies, another comes at the end
-	leave            faultKind = "leave"     // an upstream says that it leaves, and goes
+	oneWay           faultKind = "one-way"   // the daemon's replies to other daemons are lost
+	isolate          faultKind = "isolate"   // its failure domain is partitioned from the others
+	crash            faultKind = "crash"     // an upstream is killed, another one starts at the end
+	leave            faultKind = "leave"     // an upstream withdraws and exits, another one starts at the end
 	storeDown        faultKind = "store"     // every call to the store fails
-	storeSlow        faultKind = "storeSlow" // every call to the store takes longer
+	storeSlow        faultKind = "storeSlow" // every call to the store is delayed
 	storeLoseAnswers faultKind = "storeLose" // answers to the next appends are lost
-	storeUnreachable faultKind = "storeAway" // a domain cannot reach the store
-	change           faultKind = "change"    // changes of the configuration, in quick succession
+	storeUnreachable faultKind = "storeAway" // its failure domain is partitioned from the store
+	change           faultKind = "change"    // a burst of configuration changes
 )
 
 var faultKinds = []faultKind{
@@ -38,7 +37,8 @@
 	storeDown, storeSlow, storeLoseAnswers, storeUnreachable, change,
 }
 
-// faultEvent is one fault. VM is the index of the VM that it strikes.
+// faultEvent is one planned fault. VM is the index of the affected VM; At and Until are
+// relative to the start of the run.
 type faultEvent struct {
 	Kind  faultKind
 	VM    int
@@ -46,25 +46,26 @@
 	Until time.Duration
 }
 
-// String describes the event as logs and plots show it.
+// String formats the event for logs and plots.
 func (e faultEvent) String() string {
 	return fmt.Sprintf("%s vm%d %.1f-%.1fs", e.Kind, e.VM, e.At.Seconds(), e.Until.Seconds())
 }
 
 const (
-	// faultFreeStart lets the load run before the first fault; quietEnd is what is
-	// left for the system to come back while calls go on.
+	// faultFreeStart lets the load run before the first fault. faultFreeEnd is the time
+	// in which the system recovers while the load continues.
 	faultFreeStart = time.Second
 	faultFreeEnd   = time.Second
-	// minFaultDuration and longest bound a fault's time: from less than what the
-	// daemons of the soak take to notice (1 s of silence) to well over it.
+	// minFaultDuration and maxFaultDuration bound how long a fault lasts: from less than
+	// the daemons of the soak take to detect it (1 s of silence) to well over that.
 	minFaultDuration = 100 * time.Millisecond
 	maxFaultDuration = 3 * time.Second
-	// faultsPerSecond is how many faults begin in a second, so that some overlap.
+	// faultsPerSecond is how many faults begin in a second on average. With it some
+	// faults overlap.
 	faultsPerSecond = 0.8
 )
 
-// newPlan returns the faults of a seed, by their beginning.
+// newPlan returns the faults of a seed, sorted by their start.
 func newPlan(seed uint64, vms int, length time.Duration) []faultEvent {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	span := length - faultFreeStart - faultFreeEnd
--- a/itest/soak/plot.go
+++ b/itest/soak/plot.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The plot's measures: a column for each quarter of a second, and a line of
-// text for each fault.
+// The plot's dimensions: a column for each quarter of a second, and a line of text for
+// each fault.
 const (
 	columnDuration = 250 * time.Millisecond
 	columnWidth    = 8
@@ -15,12 +15,12 @@
 	lineHeight     = 11
 )
 
-// colours are those of the results, in the order in which they are stacked.
+// colours lists the results in the order in which they are stacked, with their colours.
 var colours = []struct{ result, colour string }{
 	{"answered", "#4a4"}, {"not-run", "#fb3"}, {"unknown", "#d55"}, {"broken", "#555"},
 }
 
-// plot draws what became of the calls over time, with the faults below, as SVG.
+// plot renders an SVG with the results of the calls over time and the faults below them.
 func plot(began time.Time, events []faultEvent, samples []sample) []byte {
 	columns := map[int]map[string]int{}
 	most, last := 1, 1
--- a/itest/soak/soak_test.go
+++ b/itest/soak/soak_test.go
@@ -21,10 +21,11 @@
 	vms     = flag.Int("vms", 6, "daemons in each")
 )
 
-// ciSeeds are played by CI.
+// ciSeeds are the seeds that CI runs.
 var ciSeeds = []uint64{1, 2}
 
-// failedSeeds failed once. Each has a line on the cause.
+// failedSeeds are seeds that failed once and are run again as regression tests. Each has
+// a comment on the cause of its failure.
 var failedSeeds = []uint64{}
 
 const baseConfig = `publish service tickets;
@@ -68,8 +69,8 @@
 	})
 }
 
-// newSoakRun starts daemons in three failure domains, with an upstream beside two
-// of three.
+// newSoakRun starts the given number of VMs in three failure domains, with an upstream on
+// two VMs of three.
 func newSoakRun(t *testing.T, vms int) *soakRun {
 	s := &soakRun{
 		t: t, c: harness.New(t), disruptions: newDisruptions(), domainPartitions: map[string]int{}, storePartitions: map[string]int{},
@@ -90,7 +91,8 @@
 	return s
 }
 
-// injectFaults injects the faults at their times and returns those that struck.
+// injectFaults injects and ends the faults at their times, and returns those that were
+// injected.
 func (s *soakRun) injectFaults(events []faultEvent, began time.Time) []faultEvent {
 	type ending struct {
 		at  time.Duration
@@ -117,17 +119,18 @@
 	return injected
 }
 
-// recoveredAfterCalls is how many calls in a row each VM must answer once all is healed.
+// recoveredAfterCalls is how many calls in a row each VM must answer after all faults have
+// ended.
 const recoveredAfterCalls = 20
 
-// checkRecovery demands that every daemon comes back to the newest version and
-// to serving its callers.
+// checkRecovery checks that every daemon reaches the newest accepted version and serves its
+// callers again.
 func (s *soakRun) checkRecovery() {
 	s.t.Helper()
 	s.c.AwaitVersion(s.acceptedVersion, s.c.VMs...)
 	for _, v := range s.c.VMs {
 		inRow, n := 0, 0
-		harness.Eventually(s.t, v.Name+" serves", func() error {
+		harness.Eventually(s.t, v.Name+" serves calls after all faults", func() error {
 			n++
 			a := v.Send(harness.NewCallerClient(), harness.Call{
 				Method: "GET", Path: "/tickets/x", ID: fmt.Sprintf("%s-after-%d", v.Name, n), Caller: "clerk",
@@ -138,14 +141,14 @@
 				inRow = 0
 			}
 			if inRow < recoveredAfterCalls {
-				return fmt.Errorf("answered %d calls in a row, the last one: %s %s %v", inRow, a.Outcome, a.Reason, a.Err)
+				return fmt.Errorf("%d calls in a row were answered; the last call: outcome %s, reason %s, error %v", inRow, a.Outcome, a.Reason, a.Err)
 			}
 			return nil
 		})
 	}
 }
 
-// report logs what happened and leaves a plot with the test's artifacts.
+// report logs the outcomes and the faults, and writes a plot to the test's artifacts.
 func report(t *testing.T, seed uint64, began time.Time, events []faultEvent, samples []sample) {
 	tally := map[string]int{}
 	for _, s := range samples {
