--- a/itest/calls_test.go
+++ b/itest/calls_test.go
@@ -15,9 +15,9 @@
 	"github.com/comfreygate/comfreygate/itest/harness"
 )
 
-// threeDomains starts a daemon in each of three failure domains, with one
-// upstream each, and one in a fourth domain without upstreams, whose calls
-// all go to other VMs. It puts the basics in force.
+// threeDomains starts a daemon with one upstream in each of three failure domains, and a
+// daemon without upstreams in a fourth one, which forwards all its calls to other VMs. It
+// publishes baseConfig and waits until it is in force.
 func threeDomains(t *testing.T, args ...string) (*harness.Cluster, []*harness.Upstream) {
 	t.Helper()
 	c := harness.New(t)
@@ -35,9 +35,12 @@
 	return c, ups
 }
 
-// edge is the VM without upstreams.
+// edge returns the VM without upstreams.
 func edge(c *harness.Cluster) *harness.VM { return c.VMs[3] }
 
+// TestResponsesAreCompleteAndBelongToTheirCalls guards against truncated or swapped responses.
+// Upstreams close connections in the middle of responses, and the connections between
+// daemons are closed under load.
 func TestResponsesAreCompleteAndBelongToTheirCalls(t *testing.T) {
 	c, _ := threeDomains(t)
 	load := harness.StartLoad(24, c.VMs, func(n int64) harness.Call {
@@ -63,14 +66,15 @@
 	t.Log(load.Tally())
 	for id, a := range load.Responses {
 		if strings.Contains(load.Calls[id].Path, "cut") && a.Err == nil && a.Outcome == "answered" {
-			t.Errorf("%s was cut short and passed off as whole: %q", id, a.Body)
+			t.Errorf("call %s: truncated response was delivered as complete: %q", id, a.Body)
 		}
 	}
 }
 
-// TestNotRunIsAccurateAndNoCallRunsTwice breaks connections before, in and after
-// requests, freezes an owner after admission and wakes it later, and kills
-// one, while calls that may not be repeated arrive everywhere.
+// TestNotRunIsAccurateAndNoCallRunsTwice guards against calls that run twice, or run
+// although they were reported as not run. It closes connections before, during and after
+// requests, pauses one owner after it admitted calls, resumes it later, and kills another,
+// while calls that may not be repeated arrive at all daemons.
 func TestNotRunIsAccurateAndNoCallRunsTwice(t *testing.T) {
 	c, _ := threeDomains(t, "-delay-ms", "3")
 	frozen, killed := c.VMs[1], c.VMs[2]
@@ -89,7 +93,7 @@
 	}
 	load.AwaitResponses(t, 100)
 	frozen.Pause()
-	load.AwaitOutcome(t, "unknown", 1) // the callers are answered first
+	load.AwaitOutcome(t, "unknown", 1) // callers are answered while the owner is paused
 	frozen.Resume()
 	load.AwaitResponses(t, 200)
 	killed.Kill()
@@ -99,6 +103,8 @@
 	t.Log(load.Tally())
 }
 
+// TestSameKeyAtTwoIngressesRunsOnce sends copies of a call with one idempotency key to three
+// daemons at once. Exactly one copy runs and is answered; the others get a conflict.
 func TestSameKeyAtTwoIngressesRunsOnce(t *testing.T) {
 	is := is.New(t)
 	c, _ := threeDomains(t, "-delay-ms", "100")
@@ -122,7 +128,7 @@
 			if a.Outcome == "answered" {
 				answered++
 			} else {
-				is.Equal(a.Status, http.StatusConflict) // an earlier copy was started
+				is.Equal(a.Status, http.StatusConflict) // an earlier copy has started
 			}
 		}
 		is.Equal(ran, 1)
@@ -130,20 +136,23 @@
 	}
 }
 
+// TestLeavingUpstreamGetsNoNewCalls withdraws one upstream and kills another under load. No
+// caller may lose its connection, and only calls in flight at the killed upstream may have
+// an unknown outcome.
 func TestLeavingUpstreamGetsNoNewCalls(t *testing.T) {
 	is := is.New(t)
 	c, ups := threeDomains(t, "-delay-ms", "5")
 	load := harness.StartLoad(16, c.VMs, harness.PostCalls("leave"))
 	load.AwaitResponses(t, 200)
-	// It says that it leaves and stays up: what was admitted before finishes,
-	// then nothing more arrives.
+	// The upstream withdraws and keeps running: calls admitted before finish, then no
+	// more arrive.
 	c.VMs[1].Withdraw(ups[1])
 	load.AwaitResponses(t, 100)
 	before := runCountOf(c, ups[1])
 	load.AwaitResponses(t, 300)
 	is.Equal(runCountOf(c, ups[1]), before)
 	is.Equal(ups[1].Stop(), 0)
-	// One that vanishes instead is refused by its owner at once.
+	// An upstream that crashes instead gets no more calls from its owner at once.
 	ups[2].Kill()
 	load.AwaitResponses(t, 300)
 	c.AwaitUpstreams(1, c.VMs...)
@@ -152,7 +161,7 @@
 	tally := load.Tally()
 	t.Log(tally)
 	is.Equal(tally["broken"], 0)
-	is.True(tally["unknown"] <= 16) // at most what was in flight at the kill
+	is.True(tally["unknown"] <= 16) // at most the calls in flight when it was killed
 }
 
 func runCountOf(c *harness.Cluster, u *harness.Upstream) int {
@@ -165,9 +174,9 @@
 	return n
 }
 
-// TestRollingRestartFailsNoCall restarts every daemon and every upstream in
-// turn under load. Callers of the daemon that stops go elsewhere when it asks
-// them to; not one call of theirs or of others may be cut or left unknown.
+// TestRollingRestartFailsNoCall restarts every daemon and every upstream in turn under
+// load. Callers of a stopping daemon switch to other daemons when it asks them to. No call
+// may lose its connection or have an unknown outcome.
 func TestRollingRestartFailsNoCall(t *testing.T) {
 	is := is.New(t)
 	c, ups := threeDomains(t, "-delay-ms", "5")
@@ -177,7 +186,7 @@
 		own := harness.StartFailoverLoad(4, []*harness.VM{v}, others, harness.PostCalls(fmt.Sprint("own-", i)))
 		load.AwaitResponses(t, 100)
 		own.AwaitResponses(t, 20)
-		is.Equal(v.Stop(), 0) // graceful: no call had to be cut
+		is.Equal(v.Stop(), 0) // all calls finished before the daemon stopped
 		load.AwaitResponses(t, 100)
 		own.Stop()
 		is.Equal(ups[i].Stop(), 0)
@@ -196,8 +205,9 @@
 	}
 }
 
-// TestSilentConnectionsOnCalls makes every open connection between daemons
-// silent for good. Calls take fresh ones, and nothing runs twice.
+// TestSilentConnectionsOnCalls makes every open connection between daemons stop carrying
+// bytes without closing. Calls must move to new connections within seconds, and none may
+// run twice.
 func TestSilentConnectionsOnCalls(t *testing.T) {
 	is := is.New(t)
 	c, _ := threeDomains(t)
@@ -219,6 +229,8 @@
 	is.True(took < 5*time.Second)
 }
 
+// TestDeadlinesAndCancellationsReachTheUpstream guards against calls that keep running at an
+// upstream after their deadline has passed or their caller has gone.
 func TestDeadlinesAndCancellationsReachTheUpstream(t *testing.T) {
 	is := is.New(t)
 	c, ups := threeDomains(t)
@@ -233,7 +245,7 @@
 		is.NoErr(a.Err)
 		is.Equal(a.Outcome, "unknown")
 		is.Equal(a.Status, http.StatusGatewayTimeout)
-		is.True(time.Since(began) < 2*time.Second) // the answer is not held back
+		is.True(time.Since(began) < 2*time.Second) // answered at the deadline, not when the call ends
 		awaitVerb(t, c, "cancelled", id)
 		is.Equal(c.RunCounts()[id], 1)
 
@@ -251,7 +263,7 @@
 		is.True(err != nil)
 		awaitVerb(t, c, "cancelled", id)
 	}
-	// A full upstream starts nothing past its deadline.
+	// An upstream with a full queue starts no call after the call's deadline.
 	for _, u := range ups {
 		u.SetDelay(t, 400*time.Millisecond)
 	}
@@ -267,12 +279,12 @@
 }
 
 func awaitVerb(t *testing.T, c *harness.Cluster, verb, id string) {
-	harness.Eventually(t, verb+" "+id, func() error {
+	harness.Eventually(t, "journal entry "+verb+" "+id, func() error {
 		for _, r := range c.Journal() {
 			if r.Verb == verb && r.Request == id {
 				return nil
 			}
 		}
-		return fmt.Errorf("not in the journal")
+		return fmt.Errorf("entry is missing from the journal")
 	})
 }
--- a/itest/config_test.go
+++ b/itest/config_test.go
@@ -17,8 +17,8 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// sixVMs starts two daemons in each of three failure domains and puts the
-// basics in force.
+// sixVMs starts two daemons in each of three failure domains, publishes baseConfig and
+// waits until it is in force.
 func sixVMs(t *testing.T) *harness.Cluster {
 	t.Helper()
 	c := harness.New(t)
@@ -40,9 +40,10 @@
 	return a.Outcome.Value
 }
 
-// TestLogOutageAndLostAnswers: the log is down, then loses the answer after
-// the write. The operator hears "unknown" at once; a resend under the same ID
-// has one effect, however often it is sent.
+// TestLogOutageAndLostAnswers guards against a command that is applied twice. The log is
+// first down, and then loses its answer after it has stored the command. The operator gets
+// the outcome "unknown" without delay; the command takes effect once, however often it is
+// sent again with the same ID.
 func TestLogOutageAndLostAnswers(t *testing.T) {
 	is := is.New(t)
 	c := sixVMs(t)
@@ -65,12 +66,13 @@
 	c.AwaitVersion(version, c.VMs...)
 	a, err := c.VMs[5].Execute("show command cmd-1")
 	is.NoErr(err)
-	is.Equal(len(a.Rows), 1) // one effect, seen everywhere
+	is.Equal(len(a.Rows), 1) // applied once, and visible at every daemon
 	is.Equal(a.Rows[0][1], "accepted")
 }
 
-// TestConcurrentOperators: operators revise one route through different daemons at
-// once. One wins; the others are told which version beat them.
+// TestConcurrentOperators revises one route through six daemons at once, each revision on
+// condition of the same base version. Exactly one is accepted; the others are rejected with
+// the version of the accepted one.
 func TestConcurrentOperators(t *testing.T) {
 	is := is.New(t)
 	c := sixVMs(t)
@@ -103,7 +105,7 @@
 	}
 }
 
-// versionWatcher polls the version that each VM reports and fails on a fall.
+// versionWatcher polls the version that each VM reports and records every decrease.
 type versionWatcher struct {
 	stop      chan struct{}
 	wg        sync.WaitGroup
@@ -138,7 +140,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if s.Version < w.highest[v.Name] {
-		w.decreases = append(w.decreases, fmt.Sprintf("%s fell from %d to %d", v.Name, w.highest[v.Name], s.Version))
+		w.decreases = append(w.decreases, fmt.Sprintf("%s went back from version %d to %d", v.Name, w.highest[v.Name], s.Version))
 	}
 	w.highest[v.Name] = max(w.highest[v.Name], s.Version)
 }
@@ -152,8 +154,9 @@
 	}
 }
 
-// TestVersionsNeverDecrease publishes all the while, as daemons are killed and
-// restarted, frozen, and cut off, and the log goes away and forgets.
+// TestVersionsNeverDecrease guards against a daemon that returns to an older configuration.
+// It publishes while daemons are killed and restarted, paused, and partitioned from the
+// others and the log, and while a daemon starts during an outage of the log.
 func TestVersionsNeverDecrease(t *testing.T) {
 	c := sixVMs(t)
 	w := watchVersions(c.VMs)
@@ -188,8 +191,9 @@
 	w.end(t)
 }
 
-// TestAllDaemonsRestartFromCheckpoint: the log has forgotten all commands and holds only a
-// checkpoint; then every daemon is killed at once and started at once.
+// TestAllDaemonsRestartFromCheckpoint guards against configuration that is lost when no
+// daemon is left to copy it from. All daemons are killed, the log expires all records
+// before its last usable checkpoint, and all daemons start again at once.
 func TestAllDaemonsRestartFromCheckpoint(t *testing.T) {
 	is := is.New(t)
 	c := sixVMs(t)
@@ -211,15 +215,15 @@
 		v.Start()
 	}
 	c.AwaitVersion(version, c.VMs...)
-	t.Log("all in force again after", time.Since(began))
-	// What was withdrawn or added before holds, and commands go on.
+	t.Log("configuration in force on all daemons after", time.Since(began))
+	// The restored configuration accepts further commands.
 	next := c.VMs[3].MustExecute("publish route stock path /stock to stock policy plain callers clerk")
 	is.True(next > version)
 	c.AwaitVersion(next, c.VMs...)
 }
 
-// usableCheckpoint returns how many records the log holds from its last
-// checkpoint on that stands right behind the records it covers.
+// usableCheckpoint returns how many records the log holds from its last usable checkpoint
+// on. A checkpoint is usable if it directly follows the records that it covers.
 func usableCheckpoint(log store.Log) (int, error) {
 	batch, err := log.Read(context.Background(), store.Query{Topic: store.ConfigTopic})
 	if err != nil {
@@ -238,9 +242,10 @@
 	return 0, fmt.Errorf("no usable checkpoint in %d records", batch.End)
 }
 
-// TestPartitionedDomainServesAndRejoins cuts a failure domain off from the others
-// and from the platform. It serves its own upstreams on what it holds, and
-// membership that changed on both sides meets afterwards.
+// TestPartitionedDomainServesAndRejoins partitions a failure domain from the others and
+// from the log. The domain must keep serving calls from its own upstreams with the
+// configuration it has. Upstreams that were added on both sides meanwhile must be known
+// everywhere after the partition.
 func TestPartitionedDomainServesAndRejoins(t *testing.T) {
 	is := is.New(t)
 	c := sixVMs(t)
@@ -255,7 +260,7 @@
 	c.AwaitVersion(version, c.VMs[:4]...)
 	c.VMs[5].AddUpstream("tickets")
 	c.VMs[1].AddUpstream("tickets")
-	// Each side loses sight of the other and goes on by itself.
+	// Each side removes the other's daemons from its membership and keeps serving.
 	c.AwaitMembers(2, c.VMs[4:]...)
 	c.AwaitMembers(4, c.VMs[:4]...)
 	load := harness.StartLoad(8, c.VMs, harness.PostCalls("apart"))
@@ -272,16 +277,17 @@
 	c.AwaitVersion(version, c.VMs...)
 	c.AwaitMembers(6, c.VMs...)
 	c.AwaitUpstreams(4, c.VMs...)
-	t.Log("whole again after", time.Since(healed))
+	t.Log("configuration and membership complete on all daemons after", time.Since(healed))
 }
 
-// TestSilentControlConnections makes every open control connection silent for
-// good, in a failure domain in which three of five daemons hear of changes from
-// their parent alone. A change is in force everywhere all the same.
+// TestSilentControlConnections makes every open control connection stop carrying bytes
+// without closing, in a failure domain in which three of five daemons receive changes from
+// their parent only. Daemons must detect the silence, reconnect, and put a change in force
+// everywhere.
 func TestSilentControlConnections(t *testing.T) {
 	is := is.New(t)
 	c := harness.New(t)
-	c.Probe = "1h" // the heartbeats alone must find the silence
+	c.Probe = "1h" // heartbeats alone must detect the silence
 	for i := range 5 {
 		c.AddVM(fmt.Sprintf("ikeja-%d", i), "ikeja")
 	}
@@ -301,7 +307,7 @@
 			}
 		}
 		if leaves != 3 {
-			return fmt.Errorf("%d leaves", leaves)
+			return fmt.Errorf("%d leaves in the distribution tree, want 3", leaves)
 		}
 		return nil
 	})
@@ -309,18 +315,18 @@
 		v.Peers.SilenceConnections()
 	}
 	began := time.Now()
-	// The leaf reads its command back over a connection that it must first
-	// find silent and replace.
+	// The leaf receives its own command over a connection that it must first detect as
+	// silent and replace.
 	version := leaf.MustExecute("publish service stock")
 	c.AwaitVersion(version, c.VMs...)
 	c.AwaitMembers(5, c.VMs...)
 	t.Log("in force everywhere after", time.Since(began))
-	is.True(time.Since(began) > 100*time.Millisecond) // or it was no test
+	is.True(time.Since(began) > 100*time.Millisecond) // a faster change did not use a silent connection
 	is.True(time.Since(began) < 15*time.Second)
 }
 
-// TestServiceWithoutUpstreams: a route whose service has no upstream refuses
-// calls as not run and says when to come back.
+// TestServiceWithoutUpstreams checks that a route whose service has no upstream refuses
+// calls as not run, with a Retry-After header.
 func TestServiceWithoutUpstreams(t *testing.T) {
 	is := is.New(t)
 	c := harness.New(t)
@@ -333,6 +339,8 @@
 	is.True(a.Header.Get("Retry-After") != "")
 }
 
+// TestReplacedLogIsReseeded loses all records of the log. An operator must be able to
+// reseed it from a daemon, and versions must continue above those before the loss.
 func TestReplacedLogIsReseeded(t *testing.T) {
 	is := is.New(t)
 	c := sixVMs(t)
@@ -351,13 +359,13 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("refused everywhere")
+		return fmt.Errorf("no daemon accepted the command")
 	})
 	is.True(seeded)
-	harness.Eventually(t, "commands go on", func() error {
+	harness.Eventually(t, "command after the reseed", func() error {
 		o := runCommand(t, c.VMs[3], "after-reseed", "publish service late")
 		if o.Status != api.OutcomeStatusAccepted {
-			return fmt.Errorf("%s: %s", o.Status, o.Reason.Value)
+			return fmt.Errorf("outcome %s, want accepted: %s", o.Status, o.Reason.Value)
 		}
 		is.True(o.Version.Value > before)
 		c.AwaitVersion(o.Version.Value, c.VMs...)
--- a/itest/crash_test.go
+++ b/itest/crash_test.go
@@ -14,33 +14,36 @@
 	"github.com/comfreygate/comfreygate/itest/harness"
 )
 
-// A request that ends every upstream which begins to run it was sent again and again by
-// its callers, each time with a new ID and at another VM. Seen: upstreams of a service
-// ended one after the other, again as soon as they were back, and the calls that ran
-// beside it failed; 24 ends under one request. How it came about: to every daemon each
-// copy was a new call, and where the call may be repeated it went on to the next upstream
-// by itself. Cause: what became of a request was known for one call, at one daemon, and
-// forgotten with it. Proof: the lines of one end are 16 connections of one process broken
-// within 0.2 ms, and the tests below end upstreams without bound where nothing is kept.
+// These tests guard against a poison request that crashes the upstreams of a whole service.
+// Callers sent it again and again, each time with a new ID and to another VM. It crashed
+// one upstream after the other, each again as soon as it had restarted, and the other calls
+// that ran there failed; one request caused 24 crashes. To every daemon each copy was a new
+// call, which it retried at the next upstream if the call may be repeated. The outcome of a
+// request was known only for one call at one daemon, and forgotten when the call ended.
+// One crash shows as 16 connections of one process that break within 0.2 ms. Without a
+// record of suspects these tests crash upstreams without bound.
 
 const (
-	// spreadTime is within which all daemons that can be reached know that a request has
-	// ended three upstreams.
+	// spreadTime is the time within which all reachable daemons know that a request has
+	// crashed three upstreams.
 	spreadTime = time.Second
-	// maxLaterRuns is how often it may be run after that, over all daemons and restarts.
+	// maxLaterRuns bounds the runs of the request after that, over all daemons and their
+	// restarts.
 	maxLaterRuns = 3
-	// poisonPath ends the upstream that runs it after 30 ms.
+	// poisonPath is the path of a request that crashes the upstream which runs it after
+	// 30 ms.
 	poisonPath = "/tickets/crash?crash_ms=30"
 )
 
-// poisonSender sends copies of a request that ends upstreams to the VMs in turn.
+// poisonSender sends copies of a poison request to the VMs in turn.
 type poisonSender struct {
 	c    *harness.Cluster
 	vms  []*harness.VM
 	sent int
 }
 
-// send sends so many copies, one each 50 ms, whatever becomes of them.
+// send sends copies at intervals of 50 ms without waiting for earlier ones, and returns when
+// all have completed.
 func (s *poisonSender) send(t *testing.T, copies int) {
 	t.Helper()
 	client := harness.NewCallerClient()
@@ -53,7 +56,7 @@
 		wg.Go(func() {
 			a := v.Send(client, harness.Call{Method: http.MethodGet, Path: poisonPath, ID: id, Caller: "clerk"})
 			if a.Err == nil && a.Outcome == "answered" {
-				t.Errorf("%s was answered", id)
+				t.Errorf("copy %s of the poison request was answered", id)
 			}
 		})
 		time.Sleep(50 * time.Millisecond)
@@ -61,7 +64,7 @@
 	wg.Wait()
 }
 
-// countRuns counts how often copies were run, and the ends of upstreams.
+// countRuns returns how often copies were run and how often upstreams crashed.
 func (s *poisonSender) countRuns() (runs, crashes int) {
 	for _, r := range s.c.Journal() {
 		switch {
@@ -74,8 +77,8 @@
 	return runs, crashes
 }
 
-// crashThree sends copies until three upstreams have ended and all may know it. It returns
-// the runs so far.
+// crashThree sends copies until three upstreams have crashed and all reachable daemons can
+// know of it. It returns the number of runs so far.
 func (s *poisonSender) crashThree(t *testing.T) int {
 	t.Helper()
 	for began := time.Now(); time.Since(began) < harness.WaitTimeout; {
@@ -83,26 +86,27 @@
 		if _, crashes := s.countRuns(); crashes >= 3 {
 			s.send(t, int(spreadTime/(50*time.Millisecond)))
 			runs, crashes := s.countRuns()
-			t.Logf("%d runs and %d ends until it is known", runs, crashes)
+			t.Logf("%d runs and %d crashes until all reachable daemons know of three crashes", runs, crashes)
 			return runs
 		}
 	}
-	t.Fatal("three upstreams have not ended")
+	t.Fatal("fewer than three upstreams crashed")
 	return 0
 }
 
-// checkLaterRuns fails the test if copies were run more often than allowed since.
+// checkLaterRuns fails the test if copies were run more than maxLaterRuns times after the
+// first since runs.
 func (s *poisonSender) checkLaterRuns(t *testing.T, since int, when string) {
 	t.Helper()
 	runs, crashes := s.countRuns()
-	t.Logf("%s: %d of %d copies were run, %d ends", when, runs, s.sent, crashes)
+	t.Logf("%s: %d of %d copies were run, %d crashes", when, runs, s.sent, crashes)
 	if runs-since > maxLaterRuns {
-		t.Errorf("%s: run %d times more after three upstreams had ended", when, runs-since)
+		t.Errorf("%s: poison request was run %d more times after three upstreams had crashed", when, runs-since)
 	}
 }
 
-// sixUpstreams is six VMs in three failure domains with an upstream each, which are back
-// half a second after a crash.
+// sixUpstreams starts six VMs in three failure domains with an upstream each. An upstream
+// restarts half a second after a crash.
 func sixUpstreams(t *testing.T) *harness.Cluster {
 	t.Helper()
 	c := sixVMs(t)
@@ -113,9 +117,10 @@
 	return c
 }
 
-// TestPoisonRequestIsQuarantined sends it at all VMs beside other calls, through a
-// restart of every daemon in turn and one of all at once. The calls that run beside it
-// and those that share its path, or its caller, are served.
+// TestPoisonRequestIsQuarantined sends a poison request to all VMs during other calls,
+// while every daemon restarts in turn, and after a restart of all daemons at once. Once the
+// request has crashed three upstreams, it must hardly be run any more, and calls with the
+// same caller or path must be answered.
 func TestPoisonRequestIsQuarantined(t *testing.T) {
 	c := sixUpstreams(t)
 	s := &poisonSender{c: c, vms: c.VMs}
@@ -124,13 +129,13 @@
 	load.AwaitResponses(t, 500)
 	load.Stop()
 	s.send(t, 40)
-	s.checkLaterRuns(t, runsBefore, "beside other calls")
+	s.checkLaterRuns(t, runsBefore, "after other calls")
 	after := harness.StartLoad(12, c.VMs, otherCalls)
 	s.send(t, 20)
 	after.Stop()
-	s.checkLaterRuns(t, runsBefore, "later")
+	s.checkLaterRuns(t, runsBefore, "during other calls")
 	if tally := after.Tally(); tally["answered"] < 99*len(after.Responses)/100 {
-		t.Errorf("calls beside it after it was known: %v", tally)
+		t.Errorf("too few of the other calls were answered after the quarantine: %v", tally)
 	}
 	for _, v := range c.VMs {
 		v.Kill()
@@ -138,7 +143,7 @@
 		c.AwaitMembers(len(c.VMs), v)
 		s.send(t, 6)
 	}
-	s.checkLaterRuns(t, runsBefore, "after each daemon has started again")
+	s.checkLaterRuns(t, runsBefore, "after a restart of each daemon in turn")
 	for _, v := range c.VMs {
 		v.Kill()
 	}
@@ -149,17 +154,18 @@
 	c.AwaitUpstreams(len(c.VMs), c.VMs...)
 	time.Sleep(spreadTime)
 	s.send(t, 40)
-	s.checkLaterRuns(t, runsBefore, "after all daemons have started again at once")
+	s.checkLaterRuns(t, runsBefore, "after a restart of all daemons at once")
 }
 
-// restartDaemon starts a VM's daemon, and an upstream that announces itself to it.
+// restartDaemon starts a VM's daemon and a new upstream on the VM.
 func restartDaemon(c *harness.Cluster, v *harness.VM) {
 	v.Start()
 	v.AddUpstream("tickets", "-delay-ms", "20", "-back-ms", "500")
 }
 
-// TestPoisonRequestIsQuarantinedAcrossPartition lets three upstreams end while one
-// failure domain reaches the others only through the store, and then sends copies there.
+// TestPoisonRequestIsQuarantinedAcrossPartition crashes three upstreams while one failure
+// domain is partitioned from the others and shares only the store with them. Copies sent to
+// that domain must be refused there too.
 func TestPoisonRequestIsQuarantinedAcrossPartition(t *testing.T) {
 	c := sixUpstreams(t)
 	c.Partition(func(a, b string) bool { return (a == "yaba") != (b == "yaba") })
@@ -167,11 +173,12 @@
 	runsBefore := s.crashThree(t)
 	s.vms = c.VMs[4:]
 	s.send(t, 40)
-	s.checkLaterRuns(t, runsBefore, "behind a cut")
+	s.checkLaterRuns(t, runsBefore, "in the partitioned domain")
 	checkOperatorClears(t, c)
 }
 
-// checkOperatorClears lets an operator clear the request at one daemon, and sends it at another.
+// checkOperatorClears ends the partition, clears the quarantined request at one daemon, and
+// checks that another daemon no longer has it in quarantine. Clearing it again is rejected.
 func checkOperatorClears(t *testing.T, c *harness.Cluster) {
 	t.Helper()
 	is := is.New(t)
@@ -195,8 +202,8 @@
 	})
 }
 
-// otherCalls makes calls that are no copies of the request: others by the same caller, of
-// which some share its path.
+// otherCalls returns the n-th call of the load that is sent during the poison request: calls
+// by the same caller, some of them with the same path.
 func otherCalls(n int64) harness.Call {
 	call := harness.PostCalls("beside")(n)
 	switch n % 4 {
--- a/itest/path_test.go
+++ b/itest/path_test.go
@@ -1,4 +1,4 @@
-// Package itest holds the tests with real processes.
+// Package itest tests the system as real processes: daemons, upstreams and a log.
 package itest
 
 import (
@@ -11,13 +11,15 @@
 	"github.com/comfreygate/comfreygate/itest/harness"
 )
 
-// baseConfig is a configuration with one service, a route for calls that may be
-// repeated by their method, and one caller.
+// baseConfig is a configuration with one service, one caller, and a route whose policy
+// decides by the method whether a call may be repeated.
 const baseConfig = `publish service tickets;
 publish policy plain urgency normal timeout 5s retries 2;
 publish caller clerk;
 publish route tickets path /tickets to tickets policy plain callers clerk`
 
+// TestCallThroughTwoDaemonsAfterPublish publishes a configuration with comfreyctl, and
+// sends a call that enters at one daemon and runs at an upstream of another.
 func TestCallThroughTwoDaemonsAfterPublish(t *testing.T) {
 	is := is.New(t)
 	c := harness.New(t)
--- a/itest/product_test.go
+++ b/itest/product_test.go
@@ -15,7 +15,8 @@
 	"github.com/comfreygate/comfreygate/itest/harness"
 )
 
-// TestDevModeInstructionsWork runs the README's command and does what it prints.
+// TestDevModeInstructionsWork starts the dev mode as the README describes, and runs the
+// curl and comfreyctl commands that it prints.
 func TestDevModeInstructionsWork(t *testing.T) {
 	is := is.New(t)
 	d := harness.StartDevMode(t)
@@ -41,9 +42,9 @@
 	is.Equal(d.Stop(), 0)
 }
 
-// checkWorkspaceKeys calls a route that needs a workspace's key: with none, with one, and with that
-// of a workspace that has a limit until that is used up. The daemon that prints url
-// takes the calls.
+// checkWorkspaceKeys calls a route that requires a workspace key at the daemon of url:
+// without a key, with an unknown and a valid key, and with the key of a rate-limited
+// workspace until its limit is used up.
 func checkWorkspaceKeys(t *testing.T, url string) {
 	t.Helper()
 	is := is.New(t)
@@ -72,6 +73,8 @@
 	is.Equal(status("front-desk-key"), http.StatusOK)
 }
 
+// TestAdminAPIRequiresToken sends no token, a wrong token, and the right token without
+// "Bearer".
 func TestAdminAPIRequiresToken(t *testing.T) {
 	is := is.New(t)
 	c := harness.New(t)
@@ -91,7 +94,8 @@
 	is.NoErr(err)
 }
 
-// TestBadInputChangesNothing sends what cannot be understood everywhere.
+// TestBadInputChangesNothing sends invalid commands, calls and announcements. Each must be
+// refused with its exit code or status and leave the configuration unchanged.
 func TestBadInputChangesNothing(t *testing.T) {
 	is := is.New(t)
 	c := harness.New(t)
@@ -143,7 +147,8 @@
 	is.Equal(s.Version, version)
 }
 
-// TestTimelineShowsCauseBeforeEffect follows one command over all daemons.
+// TestTimelineShowsCauseBeforeEffect checks that the timeline of one version shows, for each
+// daemon, that the command was accepted before the version was applied.
 func TestTimelineShowsCauseBeforeEffect(t *testing.T) {
 	is := is.New(t)
 	c := sixVMs(t)
@@ -168,6 +173,8 @@
 	}
 }
 
+// TestSecondSignalStopsAtOnce checks that a second SIGTERM ends the daemon, with exit code 3,
+// while a call is still running.
 func TestSecondSignalStopsAtOnce(t *testing.T) {
 	is := is.New(t)
 	c := harness.New(t)
@@ -188,6 +195,8 @@
 	<-inFlight
 }
 
+// TestCheckReportsInvalidSettings checks that "comfreyd check" names each invalid setting and
+// accepts valid settings.
 func TestCheckReportsInvalidSettings(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "settings.yaml")
--- a/itest/soak/soak_test.go
+++ b/itest/soak/soak_test.go
@@ -33,6 +33,7 @@
 publish caller clerk;
 publish route tickets path /tickets to tickets policy plain callers clerk`
 
+// TestSoak runs the seeds that the flags select, or those of CI and of earlier failures.
 func TestSoak(t *testing.T) {
 	switch {
 	case *seed != 0:
