--- a/itest/calls_test.go
+++ b/itest/calls_test.go
@@ -112,10 +112,10 @@
 	for k := range 10 {
 		key := fmt.Sprintf("key-%d", k)
 		var wg sync.WaitGroup
-		answers := make([]harness.Response, 6)
-		for i := range answers {
+		responses := make([]harness.Response, 6)
+		for i := range responses {
 			wg.Go(func() {
-				answers[i] = c.VMs[i%3].Send(client, harness.Call{
+				responses[i] = c.VMs[i%3].Send(client, harness.Call{
 					Method: http.MethodPost, Path: "/tickets/pay", ID: fmt.Sprintf("%s-copy%d", key, i), Caller: "clerk",
 					Body: "pay", Header: map[string]string{"Idempotency-Key": key},
 				})
@@ -123,7 +123,7 @@
 		}
 		wg.Wait()
 		ran, answered := 0, 0
-		for i, a := range answers {
+		for i, a := range responses {
 			ran += c.RunCounts()[fmt.Sprintf("%s-copy%d", key, i)]
 			if a.Outcome == "answered" {
 				answered++
@@ -183,12 +183,12 @@
 	for i, v := range c.VMs[:3] {
 		others := []*harness.VM{c.VMs[(i+1)%3], edge(c)}
 		load := harness.StartLoad(12, others, harness.PostCalls(fmt.Sprint("roll-", i)))
-		own := harness.StartFailoverLoad(4, []*harness.VM{v}, others, harness.PostCalls(fmt.Sprint("own-", i)))
+		failoverLoad := harness.StartFailoverLoad(4, []*harness.VM{v}, others, harness.PostCalls(fmt.Sprint("own-", i)))
 		load.AwaitResponses(t, 100)
-		own.AwaitResponses(t, 20)
+		failoverLoad.AwaitResponses(t, 20)
 		is.Equal(v.Stop(), 0) // all calls finished before the daemon stopped
 		load.AwaitResponses(t, 100)
-		own.Stop()
+		failoverLoad.Stop()
 		is.Equal(ups[i].Stop(), 0)
 		v.Start()
 		ups[i] = v.AddUpstream("tickets", "-delay-ms", "5")
@@ -197,11 +197,11 @@
 		load.AwaitResponses(t, 100)
 		load.Stop()
 		load.CheckGuarantees(t, c)
-		own.CheckGuarantees(t, c)
+		failoverLoad.CheckGuarantees(t, c)
 		tally := load.Tally()
-		t.Log(v.Name, tally, own.Tally())
+		t.Log(v.Name, tally, failoverLoad.Tally())
 		is.Equal(tally["answered"], load.Count())
-		is.Equal(own.Tally()["answered"], own.Count())
+		is.Equal(failoverLoad.Tally()["answered"], failoverLoad.Count())
 	}
 }
 
--- a/itest/config_test.go
+++ b/itest/config_test.go
@@ -145,7 +145,7 @@
 	w.highest[v.Name] = max(w.highest[v.Name], s.Version)
 }
 
-func (w *versionWatcher) end(t *testing.T) {
+func (w *versionWatcher) stopAndReport(t *testing.T) {
 	t.Helper()
 	close(w.stop)
 	w.wg.Wait()
@@ -188,7 +188,7 @@
 	c.AwaitVersion(1, c.VMs[2])
 	c.SetLogFaults(devlog.Faults{})
 	c.AwaitVersion(publish(c.VMs[2]), c.VMs...)
-	w.end(t)
+	w.stopAndReport(t)
 }
 
 // TestAllDaemonsRestartFromCheckpoint guards against configuration that is lost when no
--- a/itest/harness/load.go
+++ b/itest/harness/load.go
@@ -49,12 +49,12 @@
 		}
 		n := l.sent.Add(1)
 		call := next(n)
-		answer := vms[int(n)%len(vms)].Send(client, call)
-		if answer.Close {
+		response := vms[int(n)%len(vms)].Send(client, call)
+		if response.Close {
 			vms = fallbacks
 		}
 		l.mu.Lock()
-		l.Responses[call.ID] = answer
+		l.Responses[call.ID] = response
 		l.Calls[call.ID] = call
 		l.mu.Unlock()
 	}
--- a/itest/path_test.go
+++ b/itest/path_test.go
@@ -23,26 +23,26 @@
 func TestCallThroughTwoDaemonsAfterPublish(t *testing.T) {
 	is := is.New(t)
 	c := harness.New(t)
-	near := c.AddVM("ikeja-1", "ikeja")
-	far := c.AddVM("lekki-1", "lekki")
-	far.AddUpstream("tickets")
+	ingress := c.AddVM("ikeja-1", "ikeja")
+	owner := c.AddVM("lekki-1", "lekki")
+	owner.AddUpstream("tickets")
 
-	out, code := near.RunCtl(strings.Fields(baseConfig)...)
+	out, code := ingress.RunCtl(strings.Fields(baseConfig)...)
 	is.Equal(code, 0)
 	is.True(strings.Contains(out, "accepted as version 1"))
 	c.AwaitVersion(1, c.VMs...)
 	c.AwaitUpstreams(1, c.VMs...)
 
-	answer := near.Send(harness.NewCallerClient(), harness.Call{
+	response := ingress.Send(harness.NewCallerClient(), harness.Call{
 		Method: "POST", Path: "/tickets/7", ID: "first-call", Caller: "clerk", Body: "doll without arm",
 	})
-	is.NoErr(answer.Err)
-	is.Equal(answer.Status, 200)
-	is.Equal(answer.Outcome, "answered")
-	is.Equal(answer.Body, "first-call\ndoll without arm")
+	is.NoErr(response.Err)
+	is.Equal(response.Status, 200)
+	is.Equal(response.Outcome, "answered")
+	is.Equal(response.Body, "first-call\ndoll without arm")
 	is.Equal(fmt.Sprint(c.RunCounts()), "map[first-call:1]")
 
-	refused := near.Send(harness.NewCallerClient(), harness.Call{Method: "GET", Path: "/tickets/7", ID: "stranger", Caller: "nobody"})
+	refused := ingress.Send(harness.NewCallerClient(), harness.Call{Method: "GET", Path: "/tickets/7", ID: "stranger", Caller: "nobody"})
 	is.Equal(refused.Status, 403)
 	is.Equal(refused.Outcome, "not-run")
 	is.Equal(c.RunCounts()["stranger"], 0)
--- a/itest/soak/callers.go
+++ b/itest/soak/callers.go
@@ -13,20 +13,20 @@
 
 // sample is one call with its response and times.
 type sample struct {
-	began  time.Time
-	ended  time.Time
-	vm     int
-	call   harness.Call
-	answer harness.Response
+	began    time.Time
+	ended    time.Time
+	vm       int
+	call     harness.Call
+	response harness.Response
 }
 
 // result names the call's outcome in plots and tallies; "broken" is a connection that
 // closed before a complete response.
 func (s sample) result() string {
-	if s.answer.Err != nil {
+	if s.response.Err != nil {
 		return "broken"
 	}
-	return s.answer.Outcome
+	return s.response.Outcome
 }
 
 // callers send calls to all VMs until stopAndCollect is called.
@@ -66,7 +66,7 @@
 		case <-tick.C:
 		}
 		s := sample{began: time.Now(), vm: vm, call: c.nextCall()}
-		s.answer = c.vms[vm].Send(client, s.call)
+		s.response = c.vms[vm].Send(client, s.call)
 		s.ended = time.Now()
 		c.mu.Lock()
 		c.samples = append(c.samples, s)
@@ -106,9 +106,9 @@
 	runs := c.RunCounts()
 	versions := map[string]sample{}
 	for _, s := range samples {
-		load.Responses[s.call.ID], load.Calls[s.call.ID] = s.answer, s.call
-		if s.answer.Err != nil && runs[s.call.ID] > 0 && !disrupted.overlaps(s.vm, s.began, s.ended) {
-			t.Errorf("call %s ran, but %s closed its connection and was neither killed nor frozen at that time: %v", s.call.ID, c.VMs[s.vm].Name, s.answer.Err)
+		load.Responses[s.call.ID], load.Calls[s.call.ID] = s.response, s.call
+		if s.response.Err != nil && runs[s.call.ID] > 0 && !disrupted.overlaps(s.vm, s.began, s.ended) {
+			t.Errorf("call %s ran, but %s closed its connection and was neither killed nor frozen at that time: %v", s.call.ID, c.VMs[s.vm].Name, s.response.Err)
 		}
 		checkVersion(t, versions, s)
 	}
@@ -119,19 +119,19 @@
 // same incarnation of a daemon had answered before this call began.
 func checkVersion(t *testing.T, newest map[string]sample, s sample) {
 	t.Helper()
-	if s.answer.Err != nil {
+	if s.response.Err != nil {
 		return
 	}
-	previous, ok := newest[s.answer.Addr]
+	previous, ok := newest[s.response.Addr]
 	if ok && s.began.After(previous.ended) && version(s) < version(previous) {
-		t.Errorf("daemon at %s answered with version %d after version %d", s.answer.Addr, version(s), version(previous))
+		t.Errorf("daemon at %s answered with version %d after version %d", s.response.Addr, version(s), version(previous))
 	}
 	if !ok || version(s) > version(previous) {
-		newest[s.answer.Addr] = s
+		newest[s.response.Addr] = s
 	}
 }
 
 func version(s sample) (v int64) {
-	fmt.Sscan(s.answer.Header.Get("Comfrey-Version"), &v)
+	fmt.Sscan(s.response.Header.Get("Comfrey-Version"), &v)
 	return v
 }
