--- a/itest/calls_test.go
+++ b/itest/calls_test.go
@@ -74,10 +74,10 @@
 // TestNotRunIsAccurateAndNoCallRunsTwice guards against calls that run twice, or run
 // although they were reported as not run. It closes connections before, during and after
 // requests, pauses one owner after it admitted calls, resumes it later, and kills another,
-// while calls that may not be repeated arrive at all daemons.
+// while calls that may not be repeated arrive at two daemons.
 func TestNotRunIsAccurateAndNoCallRunsTwice(t *testing.T) {
 	c, _ := threeDomains(t, "-delay-ms", "3")
-	frozen, killed := c.VMs[1], c.VMs[2]
+	paused, killed := c.VMs[1], c.VMs[2]
 	load := harness.StartLoad(24, []*harness.VM{c.VMs[0], edge(c)}, harness.PostCalls("once"))
 	for _, v := range c.VMs[:3] {
 		for range 5 {
@@ -92,9 +92,9 @@
 		v.Owner.CloseConnections()
 	}
 	load.AwaitResponses(t, 100)
-	frozen.Pause()
+	paused.Pause()
 	load.AwaitOutcome(t, "unknown", 1) // callers are answered while the owner is paused
-	frozen.Resume()
+	paused.Resume()
 	load.AwaitResponses(t, 200)
 	killed.Kill()
 	load.AwaitResponses(t, 50)
@@ -279,7 +279,7 @@
 }
 
 func awaitVerb(t *testing.T, c *harness.Cluster, verb, id string) {
-	harness.Eventually(t, "journal entry "+verb+" "+id, func() error {
+	harness.Eventually(t, verb+" "+id, func() error {
 		for _, r := range c.Journal() {
 			if r.Verb == verb && r.Request == id {
 				return nil
--- a/itest/config_test.go
+++ b/itest/config_test.go
@@ -88,18 +88,18 @@
 			})
 		}
 		wg.Wait()
-		var winner int64
+		var acceptedVersion int64
 		for _, o := range outcomes {
 			if o.Status == api.OutcomeStatusAccepted {
-				is.Equal(winner, int64(0)) // exactly one wins
-				winner = o.Version.Value
+				is.Equal(acceptedVersion, int64(0)) // exactly one is accepted
+				acceptedVersion = o.Version.Value
 			}
 		}
-		is.True(winner > 0)
+		is.True(acceptedVersion > 0)
 		for _, o := range outcomes {
 			if o.Status != api.OutcomeStatusAccepted {
 				is.Equal(o.Status, api.OutcomeStatusRejected)
-				is.Equal(o.BeatenBy.Value, winner)
+				is.Equal(o.BeatenBy.Value, acceptedVersion)
 			}
 		}
 	}
@@ -149,8 +149,8 @@
 	t.Helper()
 	close(w.stop)
 	w.wg.Wait()
-	for _, f := range w.decreases {
-		t.Error(f)
+	for _, decrease := range w.decreases {
+		t.Error(decrease)
 	}
 }
 
--- a/itest/crash_test.go
+++ b/itest/crash_test.go
@@ -20,8 +20,9 @@
 // that ran there failed; one request caused 24 crashes. To every daemon each copy was a new
 // call, which it retried at the next upstream if the call may be repeated. The outcome of a
 // request was known only for one call at one daemon, and forgotten when the call ended.
-// One crash shows as 16 connections of one process that break within 0.2 ms. Without a
-// record of suspects these tests crash upstreams without bound.
+// That these were crashes is confirmed by the log lines: in one of them, 16 connections of
+// one process broke within 0.2 ms. Without a record of suspects, the upstreams of these
+// tests crash without bound.
 
 const (
 	// spreadTime is the time within which all reachable daemons know that a request has
@@ -94,14 +95,14 @@
 	return 0
 }
 
-// checkLaterRuns fails the test if copies were run more than maxLaterRuns times after the
-// first since runs.
-func (s *poisonSender) checkLaterRuns(t *testing.T, since int, when string) {
+// checkLaterRuns fails the test if copies were run more than maxLaterRuns times in addition
+// to the earlier runs.
+func (s *poisonSender) checkLaterRuns(t *testing.T, earlierRuns int, when string) {
 	t.Helper()
 	runs, crashes := s.countRuns()
 	t.Logf("%s: %d of %d copies were run, %d crashes", when, runs, s.sent, crashes)
-	if runs-since > maxLaterRuns {
-		t.Errorf("%s: poison request was run %d more times after three upstreams had crashed", when, runs-since)
+	if runs-earlierRuns > maxLaterRuns {
+		t.Errorf("%s: poison request was run %d more times after three upstreams had crashed", when, runs-earlierRuns)
 	}
 }
 
--- a/itest/harness/faults.go
+++ b/itest/harness/faults.go
@@ -19,8 +19,8 @@
 	}
 	for _, v := range c.VMs {
 		rule := func(ip string) fault.Rule {
-			cut := separated(domains[ip], v.Domain)
-			return fault.Rule{DropUp: cut, DropDown: cut}
+			drop := separated(domains[ip], v.Domain)
+			return fault.Rule{DropUp: drop, DropDown: drop}
 		}
 		v.Peers.SetRules(rule)
 		v.Owner.SetRules(rule)
--- a/itest/soak/faults.go
+++ b/itest/soak/faults.go
@@ -12,7 +12,7 @@
 
 // linkDelay is the delay of each chunk on a slow link, and storeDelayMs that of each call
 // to a slow store. Daemons give up after 1 s: one such delay stays below that, several in
-// succession exceed it.
+// succession can exceed it.
 const (
 	linkDelay    = 80 * time.Millisecond
 	storeDelayMs = 700
@@ -174,16 +174,16 @@
 		isolated[d] = n > 0
 	}
 	for i, v := range s.c.VMs {
-		own := s.rules[i]
-		decide := func(ip string) fault.Rule {
-			r := own
+		vmRule := s.rules[i]
+		ruleFor := func(ip string) fault.Rule {
+			r := vmRule
 			if from := domains[ip]; from != v.Domain && (isolated[from] || isolated[v.Domain]) {
 				r.DropUp, r.DropDown = true, true
 			}
 			return r
 		}
-		v.Owner.SetRules(decide)
-		v.Peers.SetRules(decide)
+		v.Owner.SetRules(ruleFor)
+		v.Peers.SetRules(ruleFor)
 	}
 }
 
