--- a/itest/cmd/upstreamd/main.go
+++ b/itest/cmd/upstreamd/main.go
@@ -142,18 +142,18 @@
 		fmt.Fprintf(u.journal, "cancelled %s %s\n", request, u.id)
 		return
 	}
-	answer := append([]byte(request+"\n"), body...)
+	response := append([]byte(request+"\n"), body...)
 	if r.URL.Query().Get("cut") != "chunked" {
-		w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
+		w.Header().Set("Content-Length", strconv.Itoa(len(response)))
 	}
 	w.Header().Set("Upstream", u.id)
 	w.Header().Set("Saw-Timeout", r.Header.Get("Comfrey-Timeout-Ms"))
 	if r.URL.Query().Has("cut") {
-		w.Write(answer[:len(answer)/2])
+		w.Write(response[:len(response)/2])
 		http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	w.Write(answer)
+	w.Write(response)
 }
 
 // crash ends this incarnation of the upstream. Concurrent crashes count as one.
--- a/itest/harness/cluster.go
+++ b/itest/harness/cluster.go
@@ -245,15 +245,15 @@
 		return nil
 	}
 	defer f.Close()
-	var runs []JournalEntry
+	var entries []JournalEntry
 	scan := bufio.NewScanner(f)
 	for scan.Scan() {
 		var r JournalEntry
 		if n, _ := fmt.Sscan(scan.Text(), &r.Verb, &r.Request, &r.Upstream); n == 3 {
-			runs = append(runs, r)
+			entries = append(entries, r)
 		}
 	}
-	return runs
+	return entries
 }
 
 // RunCounts returns how often each request ran, by request ID.
