--- a/itest/calls_test.go
+++ b/itest/calls_test.go
@@ -15,9 +15,9 @@
 	"github.com/comfreygate/comfreygate/itest/harness"
 )
 
-// threeDomains starts a daemon in each of three failure domains, with one
-// upstream each, and one in a fourth domain without upstreams, whose calls
-// all go to other VMs. It puts the basics in force.
+// threeDomains starts a daemon with one upstream in each of three failure domains, and a
+// daemon without upstreams in a fourth one, which forwards all its calls to other VMs. It
+// publishes baseConfig and waits until it is in force.
 func threeDomains(t *testing.T, args ...string) (*harness.Cluster, []*harness.Upstream) {
 	t.Helper()
 	c := harness.New(t)
@@ -28,20 +28,23 @@
 	for _, v := range c.VMs[:3] {
 		ups = append(ups, v.AddUpstream("tickets", args...))
 	}
-	version := c.VMs[0].Publish(basics)
+	version := c.VMs[0].MustExecute(baseConfig)
 	c.AwaitVersion(version, c.VMs...)
 	c.AwaitMembers(4, c.VMs...)
 	c.AwaitUpstreams(3, c.VMs...)
 	return c, ups
 }
 
-// edge is the VM without upstreams.
+// edge returns the VM without upstreams.
 func edge(c *harness.Cluster) *harness.VM { return c.VMs[3] }
 
-func TestAnswersAreWholeAndTheCallersOwn(t *testing.T) {
+// TestResponsesAreCompleteAndBelongToTheirCalls guards against truncated or swapped responses.
+// Upstreams close connections in the middle of responses, and the connections between
+// daemons are closed under load.
+func TestResponsesAreCompleteAndBelongToTheirCalls(t *testing.T) {
 	c, _ := threeDomains(t)
 	load := harness.StartLoad(24, c.VMs, func(n int64) harness.Call {
-		call := harness.Posts("own")(n)
+		call := harness.PostCalls("own")(n)
 		call.Path += fmt.Sprintf("?delay_ms=%d", n%7)
 		call.Body = strings.Repeat(call.ID+" ", int(n%400))
 		if n%11 == 0 {
@@ -53,63 +56,66 @@
 		return call
 	})
 	for range 10 {
-		load.AwaitMore(t, 100)
+		load.AwaitResponses(t, 100)
 		for _, v := range c.VMs {
-			v.Owner.Break()
+			v.Owner.CloseConnections()
 		}
 	}
 	load.Stop()
-	load.CheckPromises(t, c)
+	load.CheckGuarantees(t, c)
 	t.Log(load.Tally())
-	for id, a := range load.Answers {
+	for id, a := range load.Responses {
 		if strings.Contains(load.Calls[id].Path, "cut") && a.Err == nil && a.Outcome == "answered" {
-			t.Errorf("%s was cut short and passed off as whole: %q", id, a.Body)
+			t.Errorf("call %s: truncated response was delivered as complete: %q", id, a.Body)
 		}
 	}
 }
 
-// TestNotRunIsTrueAndNothingRunsTwice breaks connections before, in and after
-// requests, freezes an owner after admission and wakes it later, and kills
-// one, while calls that may not be repeated arrive everywhere.
-func TestNotRunIsTrueAndNothingRunsTwice(t *testing.T) {
+// TestNotRunIsAccurateAndNoCallRunsTwice guards against calls that run twice, or run
+// although they were reported as not run. It closes connections before, during and after
+// requests, pauses one owner after it admitted calls, resumes it later, and kills another,
+// while calls that may not be repeated arrive at two daemons.
+func TestNotRunIsAccurateAndNoCallRunsTwice(t *testing.T) {
 	c, _ := threeDomains(t, "-delay-ms", "3")
-	frozen, killed := c.VMs[1], c.VMs[2]
-	load := harness.StartLoad(24, []*harness.VM{c.VMs[0], edge(c)}, harness.Posts("once"))
+	paused, killed := c.VMs[1], c.VMs[2]
+	load := harness.StartLoad(24, []*harness.VM{c.VMs[0], edge(c)}, harness.PostCalls("once"))
 	for _, v := range c.VMs[:3] {
 		for range 5 {
-			load.AwaitMore(t, 50)
-			v.Owner.Break()
+			load.AwaitResponses(t, 50)
+			v.Owner.CloseConnections()
 		}
-		v.Owner.Set(func(string) fault.Rule { return fault.Rule{CutDownAfter: 700} })
-		load.AwaitMore(t, 100)
-		v.Owner.Set(func(string) fault.Rule { return fault.Rule{DropDown: true} })
-		load.AwaitMore(t, 50)
-		v.Owner.Set(nil)
-		v.Owner.Break()
+		v.Owner.SetRules(func(string) fault.Rule { return fault.Rule{CloseAfterBytesDown: 700} })
+		load.AwaitResponses(t, 100)
+		v.Owner.SetRules(func(string) fault.Rule { return fault.Rule{DropDown: true} })
+		load.AwaitResponses(t, 50)
+		v.Owner.SetRules(nil)
+		v.Owner.CloseConnections()
 	}
-	load.AwaitMore(t, 100)
-	frozen.Pause()
-	load.AwaitOutcome(t, "unknown", 1) // the callers are answered first
-	frozen.Resume()
-	load.AwaitMore(t, 200)
+	load.AwaitResponses(t, 100)
+	paused.Pause()
+	load.AwaitOutcome(t, "unknown", 1) // callers are answered while the owner is paused
+	paused.Resume()
+	load.AwaitResponses(t, 200)
 	killed.Kill()
-	load.AwaitMore(t, 50)
+	load.AwaitResponses(t, 50)
 	load.Stop()
-	load.CheckPromises(t, c)
+	load.CheckGuarantees(t, c)
 	t.Log(load.Tally())
 }
 
+// TestSameKeyAtTwoIngressesRunsOnce sends copies of a call with one idempotency key to three
+// daemons at once. Exactly one copy runs and is answered; the others get a conflict.
 func TestSameKeyAtTwoIngressesRunsOnce(t *testing.T) {
 	is := is.New(t)
 	c, _ := threeDomains(t, "-delay-ms", "100")
-	client := harness.NewCaller()
+	client := harness.NewCallerClient()
 	for k := range 10 {
 		key := fmt.Sprintf("key-%d", k)
 		var wg sync.WaitGroup
-		answers := make([]harness.Answer, 6)
-		for i := range answers {
+		responses := make([]harness.Response, 6)
+		for i := range responses {
 			wg.Go(func() {
-				answers[i] = c.VMs[i%3].Send(client, harness.Call{
+				responses[i] = c.VMs[i%3].Send(client, harness.Call{
 					Method: http.MethodPost, Path: "/tickets/pay", ID: fmt.Sprintf("%s-copy%d", key, i), Caller: "clerk",
 					Body: "pay", Header: map[string]string{"Idempotency-Key": key},
 				})
@@ -117,12 +123,12 @@
 		}
 		wg.Wait()
 		ran, answered := 0, 0
-		for i, a := range answers {
-			ran += c.Runs()[fmt.Sprintf("%s-copy%d", key, i)]
+		for i, a := range responses {
+			ran += c.RunCounts()[fmt.Sprintf("%s-copy%d", key, i)]
 			if a.Outcome == "answered" {
 				answered++
 			} else {
-				is.Equal(a.Status, http.StatusConflict) // an earlier copy was started
+				is.Equal(a.Status, http.StatusConflict) // an earlier copy has started
 			}
 		}
 		is.Equal(ran, 1)
@@ -130,32 +136,35 @@
 	}
 }
 
-func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
+// TestLeavingUpstreamGetsNoNewCalls withdraws one upstream and kills another under load. No
+// caller may lose its connection, and only calls in flight at the killed upstream may have
+// an unknown outcome.
+func TestLeavingUpstreamGetsNoNewCalls(t *testing.T) {
 	is := is.New(t)
 	c, ups := threeDomains(t, "-delay-ms", "5")
-	load := harness.StartLoad(16, c.VMs, harness.Posts("leave"))
-	load.AwaitMore(t, 200)
-	// It says that it leaves and stays up: what was admitted before finishes,
-	// then nothing more arrives.
+	load := harness.StartLoad(16, c.VMs, harness.PostCalls("leave"))
+	load.AwaitResponses(t, 200)
+	// The upstream withdraws and keeps running: calls admitted before finish, then no
+	// more arrive.
 	c.VMs[1].Withdraw(ups[1])
-	load.AwaitMore(t, 100)
-	before := runsOf(c, ups[1])
-	load.AwaitMore(t, 300)
-	is.Equal(runsOf(c, ups[1]), before)
+	load.AwaitResponses(t, 100)
+	before := runCountOf(c, ups[1])
+	load.AwaitResponses(t, 300)
+	is.Equal(runCountOf(c, ups[1]), before)
 	is.Equal(ups[1].Stop(), 0)
-	// One that vanishes instead is refused by its owner at once.
+	// An upstream that crashes instead gets no more calls from its owner at once.
 	ups[2].Kill()
-	load.AwaitMore(t, 300)
+	load.AwaitResponses(t, 300)
 	c.AwaitUpstreams(1, c.VMs...)
 	load.Stop()
-	load.CheckPromises(t, c)
+	load.CheckGuarantees(t, c)
 	tally := load.Tally()
 	t.Log(tally)
 	is.Equal(tally["broken"], 0)
-	is.True(tally["unknown"] <= 16) // at most what was in flight at the kill
+	is.True(tally["unknown"] <= 16) // at most the calls in flight when it was killed
 }
 
-func runsOf(c *harness.Cluster, u *harness.Upstream) int {
+func runCountOf(c *harness.Cluster, u *harness.Upstream) int {
 	n := 0
 	for _, r := range c.Journal() {
 		if r.Verb == "run" && r.Upstream == u.ID {
@@ -165,64 +174,67 @@
 	return n
 }
 
-// TestRollingRestartCutsNoCall restarts every daemon and every upstream in
-// turn under load. Callers of the daemon that stops go elsewhere when it asks
-// them to; not one call of theirs or of others may be cut or left unknown.
-func TestRollingRestartCutsNoCall(t *testing.T) {
+// TestRollingRestartFailsNoCall restarts every daemon and every upstream in turn under
+// load. Callers of a stopping daemon switch to other daemons when it asks them to. No call
+// may lose its connection or have an unknown outcome.
+func TestRollingRestartFailsNoCall(t *testing.T) {
 	is := is.New(t)
 	c, ups := threeDomains(t, "-delay-ms", "5")
 	for i, v := range c.VMs[:3] {
 		others := []*harness.VM{c.VMs[(i+1)%3], edge(c)}
-		load := harness.StartLoad(12, others, harness.Posts(fmt.Sprint("roll-", i)))
-		own := harness.StartMovingLoad(4, []*harness.VM{v}, others, harness.Posts(fmt.Sprint("own-", i)))
-		load.AwaitMore(t, 100)
-		own.AwaitMore(t, 20)
-		is.Equal(v.Stop(), 0) // graceful: no call had to be cut
-		load.AwaitMore(t, 100)
-		own.Stop()
+		load := harness.StartLoad(12, others, harness.PostCalls(fmt.Sprint("roll-", i)))
+		failoverLoad := harness.StartFailoverLoad(4, []*harness.VM{v}, others, harness.PostCalls(fmt.Sprint("own-", i)))
+		load.AwaitResponses(t, 100)
+		failoverLoad.AwaitResponses(t, 20)
+		is.Equal(v.Stop(), 0) // all calls finished before the daemon stopped
+		load.AwaitResponses(t, 100)
+		failoverLoad.Stop()
 		is.Equal(ups[i].Stop(), 0)
 		v.Start()
 		ups[i] = v.AddUpstream("tickets", "-delay-ms", "5")
 		c.AwaitVersion(1, c.VMs...)
 		c.AwaitUpstreams(3, c.VMs...)
-		load.AwaitMore(t, 100)
+		load.AwaitResponses(t, 100)
 		load.Stop()
-		load.CheckPromises(t, c)
-		own.CheckPromises(t, c)
+		load.CheckGuarantees(t, c)
+		failoverLoad.CheckGuarantees(t, c)
 		tally := load.Tally()
-		t.Log(v.Name, tally, own.Tally())
+		t.Log(v.Name, tally, failoverLoad.Tally())
 		is.Equal(tally["answered"], load.Count())
-		is.Equal(own.Tally()["answered"], own.Count())
+		is.Equal(failoverLoad.Tally()["answered"], failoverLoad.Count())
 	}
 }
 
-// TestSilentConnectionsOnCalls makes every open connection between daemons
-// silent for good. Calls take fresh ones, and nothing runs twice.
+// TestSilentConnectionsOnCalls makes every open connection between daemons stop carrying
+// bytes without closing. Calls must move to new connections within seconds, and none may
+// run twice.
 func TestSilentConnectionsOnCalls(t *testing.T) {
 	is := is.New(t)
 	c, _ := threeDomains(t)
-	load := harness.StartLoad(12, []*harness.VM{edge(c)}, harness.Posts("warm"))
-	load.AwaitMore(t, 300)
+	load := harness.StartLoad(12, []*harness.VM{edge(c)}, harness.PostCalls("warm"))
+	load.AwaitResponses(t, 300)
 	load.Stop()
 	for _, v := range c.VMs {
-		v.Owner.Silence()
+		v.Owner.SilenceConnections()
 	}
-	after := harness.StartLoad(12, []*harness.VM{edge(c)}, harness.Posts("silent"))
+	after := harness.StartLoad(12, []*harness.VM{edge(c)}, harness.PostCalls("silent"))
 	began := time.Now()
-	after.AwaitMore(t, 300)
+	after.AwaitResponses(t, 300)
 	took := time.Since(began)
 	after.Stop()
-	after.CheckPromises(t, c)
+	after.CheckGuarantees(t, c)
 	t.Log(after.Tally(), took)
 	is.Equal(after.Tally()["broken"], 0)
 	is.Equal(after.Tally()["answered"], after.Count())
 	is.True(took < 5*time.Second)
 }
 
+// TestDeadlinesAndCancellationsReachTheUpstream guards against calls that keep running at an
+// upstream after their deadline has passed or their caller has gone.
 func TestDeadlinesAndCancellationsReachTheUpstream(t *testing.T) {
 	is := is.New(t)
 	c, ups := threeDomains(t)
-	client := harness.NewCaller()
+	client := harness.NewCallerClient()
 	for i, v := range c.VMs {
 		id := fmt.Sprint("late-", i)
 		began := time.Now()
@@ -233,9 +245,9 @@
 		is.NoErr(a.Err)
 		is.Equal(a.Outcome, "unknown")
 		is.Equal(a.Status, http.StatusGatewayTimeout)
-		is.True(time.Since(began) < 2*time.Second) // the answer is not held back
+		is.True(time.Since(began) < 2*time.Second) // answered at the deadline, not when the call ends
 		awaitVerb(t, c, "cancelled", id)
-		is.Equal(c.Runs()[id], 1)
+		is.Equal(c.RunCounts()[id], 1)
 
 		id = fmt.Sprint("gone-", i)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -251,18 +263,18 @@
 		is.True(err != nil)
 		awaitVerb(t, c, "cancelled", id)
 	}
-	// A full upstream starts nothing past its deadline.
+	// An upstream with a full queue starts no call after the call's deadline.
 	for _, u := range ups {
 		u.SetDelay(t, 400*time.Millisecond)
 	}
 	load := harness.StartLoad(60, c.VMs, func(n int64) harness.Call {
-		call := harness.Posts("queue")(n)
+		call := harness.PostCalls("queue")(n)
 		call.Header = map[string]string{"Comfrey-Timeout-Ms": "500"}
 		return call
 	})
-	load.AwaitMore(t, 500)
+	load.AwaitResponses(t, 500)
 	load.Stop()
-	load.CheckPromises(t, c)
+	load.CheckGuarantees(t, c)
 	t.Log(load.Tally())
 }
 
@@ -273,6 +285,6 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("not in the journal")
+		return fmt.Errorf("entry is missing from the journal")
 	})
 }
--- a/itest/cmd/upstreamd/main.go
+++ b/itest/cmd/upstreamd/main.go
@@ -1,6 +1,5 @@
-// Command upstreamd is the tests' stand-in for an upstream. It announces
-// itself to the daemon on its VM and appends a line to its journal for every
-// request it runs, before it answers.
+// Command upstreamd is an upstream for the tests. It announces itself to the daemon on its
+// VM, and appends a line to the journal for every request it runs before it answers.
 package main
 
 import (
@@ -25,9 +24,9 @@
 type upstream struct {
 	journal *os.File
 	id      string
-	// delay is added to every answer, in milliseconds.
+	// delay is the time added to every call, in milliseconds.
 	delay atomic.Int64
-	// crashed is told of each crash that a request brought about.
+	// crashed receives a value when a request crashes the upstream.
 	crashed chan struct{}
 }
 
@@ -38,34 +37,34 @@
 	slots := flag.Int("slots", 8, "calls it runs at once")
 	delay := flag.Int64("delay-ms", 0, "time each call takes")
 	journal := flag.String("journal", "", "file to append a line to for every run")
-	back := flag.Int64("back-ms", 400, "how long it is gone after a crash")
+	restartDelayMs := flag.Int64("back-ms", 400, "how long it is gone after a crash")
 	flag.Parse()
 	f, err := os.OpenFile(*journal, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
-	fail(err)
+	exitOnError(err)
 	u := &upstream{journal: f, id: *id, crashed: make(chan struct{}, 1)}
 	u.delay.Store(*delay)
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM)
 	n := agent.Announcement{ID: *id, Service: *service, Slots: *slots, Connections: 10 * *slots}
-	srv := u.start(&n)
-	for announceUntil(*daemon, n, stop, u.crashed) {
-		// All of a process's connections and its listener end with it.
+	srv := u.startIncarnation(&n)
+	for announceUntilStopOrCrash(*daemon, n, stop, u.crashed) {
+		// A crashed process loses its listener and all its connections.
 		srv.Close()
 		fmt.Fprintf(u.journal, "end - %s\n", u.id)
-		time.Sleep(time.Duration(*back) * time.Millisecond)
-		srv = u.start(&n)
+		time.Sleep(time.Duration(*restartDelayMs) * time.Millisecond)
+		srv = u.startIncarnation(&n)
 	}
-	leave(*daemon, *id)
-	// Work that the owner admitted before it heard of the leaving arrives
-	// within this time.
+	withdraw(*daemon, *id)
+	// Calls that the owner admitted before it received the withdrawal arrive within
+	// this time.
 	time.Sleep(200 * time.Millisecond)
-	fail(srv.Shutdown(context.Background()))
+	exitOnError(srv.Shutdown(context.Background()))
 }
 
-// start begins a life of the upstream, at an address of its own.
-func (u *upstream) start(n *agent.Announcement) *http.Server {
+// startIncarnation starts an incarnation of the upstream at a new address.
+func (u *upstream) startIncarnation(n *agent.Announcement) *http.Server {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	fail(err)
+	exitOnError(err)
 	srv := &http.Server{Handler: u}
 	go srv.Serve(ln)
 	fmt.Println(ln.Addr())
@@ -74,17 +73,18 @@
 	return srv
 }
 
-func fail(err error) {
+func exitOnError(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// announceUntil announces the upstream until it stops, or crashes.
-func announceUntil(daemon string, n agent.Announcement, stop <-chan os.Signal, crash <-chan struct{}) (crashed bool) {
+// announceUntilStopOrCrash announces the upstream to the daemon every 200 ms until it is
+// asked to stop or crashes, and reports whether it crashed.
+func announceUntilStopOrCrash(daemon string, n agent.Announcement, stop <-chan os.Signal, crash <-chan struct{}) (crashed bool) {
 	body, err := json.Marshal(n)
-	fail(err)
+	exitOnError(err)
 	ticker := time.NewTicker(200 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -102,18 +102,19 @@
 	}
 }
 
-func leave(daemon, id string) {
+func withdraw(daemon, id string) {
 	req, err := http.NewRequest(http.MethodDelete, "http://"+daemon+"/v1/upstreams/"+id, nil)
-	fail(err)
+	exitOnError(err)
 	if res, err := http.DefaultClient.Do(req); err == nil {
 		res.Body.Close()
 	}
 }
 
-// ServeHTTP runs a request: "run ID" is journaled, then the body is echoed
-// with the request's ID in front. Parameters: delay_ms; crash_ms to end the whole
-// upstream after that time; cut to break the connection in mid-answer, of an answer of
-// unknown length if it is "chunked".
+// ServeHTTP runs a request: it appends "run", the request ID and the upstream's ID to the
+// journal, then answers with the request ID followed by the request's body. Query
+// parameters: delay_ms adds a delay; crash_ms crashes the upstream after that time; cut
+// closes the connection in the middle of the response, which has no Content-Length if the
+// value is "chunked".
 func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/.delay" {
 		ms, _ := strconv.ParseInt(r.URL.Query().Get("ms"), 10, 64)
@@ -122,7 +123,7 @@
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the request did not arrive whole: not run
+		return // the request arrived incomplete and was not run
 	}
 	request := r.Header.Get("Comfrey-Request-Id")
 	fmt.Fprintf(u.journal, "run %s %s\n", request, u.id)
@@ -141,21 +142,21 @@
 		fmt.Fprintf(u.journal, "cancelled %s %s\n", request, u.id)
 		return
 	}
-	answer := append([]byte(request+"\n"), body...)
+	response := append([]byte(request+"\n"), body...)
 	if r.URL.Query().Get("cut") != "chunked" {
-		w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
+		w.Header().Set("Content-Length", strconv.Itoa(len(response)))
 	}
 	w.Header().Set("Upstream", u.id)
 	w.Header().Set("Saw-Timeout", r.Header.Get("Comfrey-Timeout-Ms"))
 	if r.URL.Query().Has("cut") {
-		w.Write(answer[:len(answer)/2])
+		w.Write(response[:len(response)/2])
 		http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	w.Write(answer)
+	w.Write(response)
 }
 
-// crash ends this life of the upstream. Of several at once the first counts.
+// crash ends this incarnation of the upstream. Concurrent crashes count as one.
 func (u *upstream) crash() {
 	select {
 	case u.crashed <- struct{}{}:
--- a/itest/harness/calls.go
+++ b/itest/harness/calls.go
@@ -8,22 +8,23 @@
 	"time"
 )
 
-// Answer is what a caller got.
-type Answer struct {
-	// Addr is where the daemon took calls: each of its lives has its own.
+// Response is the result of a call as its caller saw it.
+type Response struct {
+	// Addr is the address at which the daemon accepted the call. It differs between
+	// incarnations of a daemon.
 	Addr    string
 	Status  int
 	Outcome string
 	Reason  string
 	Header  http.Header
 	Body    string
-	// Close is set if the daemon asked to close the connection.
+	// Close is set if the daemon asked the caller to close the connection.
 	Close bool
-	// Err is set if the connection broke: the caller knows nothing.
+	// Err is set if the connection failed: the caller does not know whether the call ran.
 	Err error
 }
 
-// Call is a call to make.
+// Call is a call to send.
 type Call struct {
 	Method string
 	Path   string
@@ -33,10 +34,10 @@
 	Header map[string]string
 }
 
-// NewCaller returns a client that comes from a caller outside the VMs.
-func NewCaller() *http.Client {
+// NewCallerClient returns an HTTP client for a caller outside the VMs.
+func NewCallerClient() *http.Client {
 	return &http.Client{
-		Timeout: Patience,
+		Timeout: WaitTimeout,
 		Transport: &http.Transport{
 			MaxIdleConnsPerHost: 256, DisableCompression: true,
 			DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -44,12 +45,12 @@
 	}
 }
 
-// Send makes a call through the VM's daemon.
-func (v *VM) Send(client *http.Client, call Call) Answer {
-	addr := *v.callers.Load()
+// Send sends a call to the VM's daemon and returns its result.
+func (v *VM) Send(client *http.Client, call Call) Response {
+	addr := *v.callersAddr.Load()
 	req, err := http.NewRequest(call.Method, "http://"+addr+call.Path, strings.NewReader(call.Body))
 	if err != nil {
-		return Answer{Addr: addr, Err: err}
+		return Response{Addr: addr, Err: err}
 	}
 	req.Header.Set("Comfrey-Caller", call.Caller)
 	if call.ID != "" {
@@ -60,11 +61,11 @@
 	}
 	res, err := client.Do(req)
 	if err != nil {
-		return Answer{Addr: addr, Err: err}
+		return Response{Addr: addr, Err: err}
 	}
 	defer res.Body.Close()
 	b, err := io.ReadAll(res.Body)
-	return Answer{
+	return Response{
 		Addr: addr, Status: res.StatusCode, Outcome: res.Header.Get("Comfrey-Outcome"), Reason: res.Header.Get("Comfrey-Reason"),
 		Header: res.Header, Body: string(b), Close: res.Close, Err: err,
 	}
--- a/itest/harness/load.go
+++ b/itest/harness/load.go
@@ -8,37 +8,38 @@
 	"testing"
 )
 
-// Load sends calls from several callers at once until it is stopped, and
-// keeps every answer.
+// Load sends calls from several concurrent callers until it is stopped, and records
+// every response by the ID of its call.
 type Load struct {
-	stop    chan struct{}
-	wg      sync.WaitGroup
-	sent    atomic.Int64
-	mu      sync.Mutex
-	Answers map[string]Answer
-	Calls   map[string]Call
+	stop      chan struct{}
+	wg        sync.WaitGroup
+	sent      atomic.Int64
+	mu        sync.Mutex
+	Responses map[string]Response
+	Calls     map[string]Call
 }
 
-// StartLoad starts so many callers, each with its own connections, that send
-// one call after the other to the VMs in turn. Next gives the n-th call.
+// StartLoad starts the given number of callers, each with its own connections. Each
+// sends one call at a time; calls go to the VMs in turn. The function next returns the
+// n-th call.
 func StartLoad(callers int, vms []*VM, next func(n int64) Call) *Load {
-	return StartMovingLoad(callers, vms, vms, next)
+	return StartFailoverLoad(callers, vms, vms, next)
 }
 
-// StartMovingLoad is StartLoad with callers that go to other VMs once they are
-// told to close their connection.
-func StartMovingLoad(callers int, vms, others []*VM, next func(n int64) Call) *Load {
-	l := &Load{stop: make(chan struct{}), Answers: map[string]Answer{}, Calls: map[string]Call{}}
+// StartFailoverLoad is StartLoad with callers that switch to the fallback VMs once a
+// daemon asks them to close their connection.
+func StartFailoverLoad(callers int, vms, fallbacks []*VM, next func(n int64) Call) *Load {
+	l := &Load{stop: make(chan struct{}), Responses: map[string]Response{}, Calls: map[string]Call{}}
 	for range callers {
 		l.wg.Add(1)
-		go l.caller(vms, others, next)
+		go l.runCaller(vms, fallbacks, next)
 	}
 	return l
 }
 
-func (l *Load) caller(vms, others []*VM, next func(n int64) Call) {
+func (l *Load) runCaller(vms, fallbacks []*VM, next func(n int64) Call) {
 	defer l.wg.Done()
-	client := NewCaller()
+	client := NewCallerClient()
 	defer client.CloseIdleConnections()
 	for {
 		select {
@@ -48,43 +49,43 @@
 		}
 		n := l.sent.Add(1)
 		call := next(n)
-		answer := vms[int(n)%len(vms)].Send(client, call)
-		if answer.Close {
-			vms = others
+		response := vms[int(n)%len(vms)].Send(client, call)
+		if response.Close {
+			vms = fallbacks
 		}
 		l.mu.Lock()
-		l.Answers[call.ID] = answer
+		l.Responses[call.ID] = response
 		l.Calls[call.ID] = call
 		l.mu.Unlock()
 	}
 }
 
-// Count returns how many calls have been answered in some way.
+// Count returns how many calls have completed, failed ones included.
 func (l *Load) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.Answers)
+	return len(l.Responses)
 }
 
-// AwaitMore waits until n more calls were answered.
-func (l *Load) AwaitMore(t testing.TB, n int) {
+// AwaitResponses waits until n more calls have completed, failed ones included.
+func (l *Load) AwaitResponses(t testing.TB, n int) {
 	t.Helper()
 	want := l.Count() + n
-	Eventually(t, "load goes on", func() error {
+	Eventually(t, "calls under load", func() error {
 		if have := l.Count(); have < want {
-			return fmt.Errorf("%d calls answered, want %d", have, want)
+			return fmt.Errorf("%d calls completed, want %d", have, want)
 		}
 		return nil
 	})
 }
 
-// AwaitOutcome waits until n more calls came out like this.
+// AwaitOutcome waits until n more calls have this outcome.
 func (l *Load) AwaitOutcome(t testing.TB, outcome string, n int) {
 	t.Helper()
 	want := l.Tally()[outcome] + n
 	Eventually(t, "outcome "+outcome, func() error {
 		if have := l.Tally()[outcome]; have < want {
-			return fmt.Errorf("%d calls, want %d", have, want)
+			return fmt.Errorf("%d calls with this outcome, want %d", have, want)
 		}
 		return nil
 	})
@@ -96,13 +97,13 @@
 	l.wg.Wait()
 }
 
-// Tally counts the answers by outcome; "broken" is a connection that ended
-// without a whole answer.
+// Tally counts the responses by outcome; "broken" counts the connections that closed
+// before a complete response.
 func (l *Load) Tally() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	tally := map[string]int{}
-	for _, a := range l.Answers {
+	for _, a := range l.Responses {
 		if a.Err != nil {
 			tally["broken"]++
 		} else {
@@ -112,18 +113,18 @@
 	return tally
 }
 
-// CheckPromises holds the answers against the journal: no request that may
-// not be repeated ran twice, none that was reported as not run ran, and every
-// answer is whole and belongs to its request.
-func (l *Load) CheckPromises(t testing.TB, c *Cluster) {
+// CheckGuarantees compares the responses with the journal: no request that may not be
+// repeated ran twice, no request that was reported as not run ran, and every response
+// is complete and belongs to its request.
+func (l *Load) CheckGuarantees(t testing.TB, c *Cluster) {
 	t.Helper()
-	runs := c.Runs()
+	runs := c.RunCounts()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, a := range l.Answers {
+	for id, a := range l.Responses {
 		call := l.Calls[id]
 		if call.Method == http.MethodPost && runs[id] > 1 {
-			t.Errorf("%s ran %d times", id, runs[id])
+			t.Errorf("call %s may not be repeated, but ran %d times", id, runs[id])
 		}
 		if a.Err != nil {
 			continue
@@ -131,24 +132,25 @@
 		switch a.Outcome {
 		case "not-run":
 			if runs[id] != 0 {
-				t.Errorf("%s was reported as not run (%s) and ran", id, a.Reason)
+				t.Errorf("call %s was reported as not run (%s), but ran", id, a.Reason)
 			}
 		case "answered":
 			if want := id + "\n" + call.Body; a.Body != want {
-				t.Errorf("%s got %q", id, a.Body)
+				t.Errorf("call %s: response body is incomplete or belongs to another call: %q", id, a.Body)
 			}
 			if runs[id] == 0 {
-				t.Errorf("%s was answered and never ran", id)
+				t.Errorf("call %s was answered, but no upstream ran it", id)
 			}
 		case "unknown":
 		default:
-			t.Errorf("%s: outcome %q, status %d", id, a.Outcome, a.Status)
+			t.Errorf("call %s: unexpected outcome %q, status %d", id, a.Outcome, a.Status)
 		}
 	}
 }
 
-// Posts makes calls that may not be repeated, with bodies that name them.
-func Posts(prefix string) func(n int64) Call {
+// PostCalls returns a generator of calls that may not be repeated. Each body contains
+// the call's ID.
+func PostCalls(prefix string) func(n int64) Call {
 	return func(n int64) Call {
 		id := fmt.Sprintf("%s-%d", prefix, n)
 		return Call{Method: http.MethodPost, Path: "/tickets/x", ID: id, Caller: "clerk", Body: "body of " + id}
--- a/itest/soak/callers.go
+++ b/itest/soak/callers.go
@@ -11,24 +11,25 @@
 	"github.com/comfreygate/comfreygate/itest/harness"
 )
 
-// sample is one call and what became of it.
+// sample is one call with its response and times.
 type sample struct {
-	began  time.Time
-	ended  time.Time
-	vm     int
-	call   harness.Call
-	answer harness.Answer
+	began    time.Time
+	ended    time.Time
+	vm       int
+	call     harness.Call
+	response harness.Response
 }
 
-// result is how a plot and a tally name what became of a call.
+// result names the call's outcome in plots and tallies; "broken" is a connection that
+// closed before a complete response.
 func (s sample) result() string {
-	if s.answer.Err != nil {
+	if s.response.Err != nil {
 		return "broken"
 	}
-	return s.answer.Outcome
+	return s.response.Outcome
 }
 
-// callers send calls to all VMs until they are stopped.
+// callers send calls to all VMs until stopAndCollect is called.
 type callers struct {
 	vms     []*harness.VM
 	prefix  string
@@ -39,8 +40,8 @@
 	samples []sample
 }
 
-// pace is the pause of a caller between two calls.
-const pace = 10 * time.Millisecond
+// callInterval is the interval between two calls of a caller.
+const callInterval = 10 * time.Millisecond
 
 func startCallers(n int, vms []*harness.VM, prefix string) *callers {
 	c := &callers{vms: vms, prefix: prefix, stop: make(chan struct{})}
@@ -51,12 +52,12 @@
 	return c
 }
 
-// run keeps its connection to one VM open, as long as the VM lets it.
+// run sends calls to one VM, over a connection that stays open until the VM closes it.
 func (c *callers) run(vm int) {
 	defer c.wg.Done()
-	client := harness.NewCaller()
+	client := harness.NewCallerClient()
 	defer client.CloseIdleConnections()
-	tick := time.NewTicker(pace)
+	tick := time.NewTicker(callInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -64,8 +65,8 @@
 			return
 		case <-tick.C:
 		}
-		s := sample{began: time.Now(), vm: vm, call: c.next()}
-		s.answer = c.vms[vm].Send(client, s.call)
+		s := sample{began: time.Now(), vm: vm, call: c.nextCall()}
+		s.response = c.vms[vm].Send(client, s.call)
 		s.ended = time.Now()
 		c.mu.Lock()
 		c.samples = append(c.samples, s)
@@ -73,10 +74,11 @@
 	}
 }
 
-// next returns a call: every third may be repeated, some have long bodies.
-func (c *callers) next() harness.Call {
+// nextCall returns the next call. Every third call may be repeated; some calls have long
+// bodies.
+func (c *callers) nextCall() harness.Call {
 	n := c.sent.Add(1)
-	call := harness.Posts(c.prefix)(n)
+	call := harness.PostCalls(c.prefix)(n)
 	call.Path += fmt.Sprintf("?delay_ms=%d", n%9)
 	switch {
 	case n%3 == 0:
@@ -88,47 +90,48 @@
 	return call
 }
 
-// end stops the callers and returns all calls.
-func (c *callers) end() []sample {
+// stopAndCollect stops the callers and returns the samples of all calls.
+func (c *callers) stopAndCollect() []sample {
 	close(c.stop)
 	c.wg.Wait()
 	return c.samples
 }
 
-// checkPromises holds the calls against the upstreams' journal, and the versions
-// that each life of a daemon answered with against each other.
-func checkPromises(t *testing.T, c *harness.Cluster, samples []sample, lives *lives) {
+// checkGuarantees compares the calls with the upstreams' journal. It also checks that the
+// versions in the responses of each incarnation of a daemon never decrease, and that no
+// call that ran lost its connection unless its daemon was disrupted at that time.
+func checkGuarantees(t *testing.T, c *harness.Cluster, samples []sample, disrupted *disruptions) {
 	t.Helper()
-	load := harness.Load{Answers: map[string]harness.Answer{}, Calls: map[string]harness.Call{}}
-	runs := c.Runs()
+	load := harness.Load{Responses: map[string]harness.Response{}, Calls: map[string]harness.Call{}}
+	runs := c.RunCounts()
 	versions := map[string]sample{}
 	for _, s := range samples {
-		load.Answers[s.call.ID], load.Calls[s.call.ID] = s.answer, s.call
-		if s.answer.Err != nil && runs[s.call.ID] > 0 && !lives.violent(s.vm, s.began, s.ended) {
-			t.Errorf("%s ran, and %s cut it with no other fault than a planned stop: %v", s.call.ID, c.VMs[s.vm].Name, s.answer.Err)
+		load.Responses[s.call.ID], load.Calls[s.call.ID] = s.response, s.call
+		if s.response.Err != nil && runs[s.call.ID] > 0 && !disrupted.overlaps(s.vm, s.began, s.ended) {
+			t.Errorf("call %s ran, but %s closed its connection and was neither killed nor frozen at that time: %v", s.call.ID, c.VMs[s.vm].Name, s.response.Err)
 		}
 		checkVersion(t, versions, s)
 	}
-	load.CheckPromises(t, c)
+	load.CheckGuarantees(t, c)
 }
 
-// checkVersion compares a call with the one before, of those that were answered
-// by the same life of a daemon, one after the other.
+// checkVersion checks that a response's version is not lower than that of a call which the
+// same incarnation of a daemon had answered before this call began.
 func checkVersion(t *testing.T, newest map[string]sample, s sample) {
 	t.Helper()
-	if s.answer.Err != nil {
+	if s.response.Err != nil {
 		return
 	}
-	before, ok := newest[s.answer.Addr]
-	if ok && s.began.After(before.ended) && version(s) < version(before) {
-		t.Errorf("%s: version %d after %d", s.answer.Addr, version(s), version(before))
+	previous, ok := newest[s.response.Addr]
+	if ok && s.began.After(previous.ended) && version(s) < version(previous) {
+		t.Errorf("daemon at %s answered with version %d after version %d", s.response.Addr, version(s), version(previous))
 	}
-	if !ok || version(s) > version(before) {
-		newest[s.answer.Addr] = s
+	if !ok || version(s) > version(previous) {
+		newest[s.response.Addr] = s
 	}
 }
 
 func version(s sample) (v int64) {
-	fmt.Sscan(s.answer.Header.Get("Comfrey-Version"), &v)
+	fmt.Sscan(s.response.Header.Get("Comfrey-Version"), &v)
 	return v
 }
--- a/itest/soak/plot.go
+++ b/itest/soak/plot.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// The plot's measures: a column for each quarter of a second, and a line of
-// text for each fault.
+// The plot's dimensions: a column for each quarter of a second, and a line of text for
+// each fault.
 const (
-	columnTime  = 250 * time.Millisecond
-	columnWidth = 8
-	plotHeight  = 200
-	lineHeight  = 11
+	columnDuration = 250 * time.Millisecond
+	columnWidth    = 8
+	plotHeight     = 200
+	lineHeight     = 11
 )
 
-// colours are those of the results, in the order in which they are stacked.
+// colours lists the results in the order in which they are stacked, with their colours.
 var colours = []struct{ result, colour string }{
 	{"answered", "#4a4"}, {"not-run", "#fb3"}, {"unknown", "#d55"}, {"broken", "#555"},
 }
 
-// plot draws what became of the calls over time, with the faults below, as SVG.
-func plot(began time.Time, events []event, samples []sample) []byte {
+// plot renders an SVG with the results of the calls over time and the faults below them.
+func plot(began time.Time, events []faultEvent, samples []sample) []byte {
 	columns := map[int]map[string]int{}
 	most, last := 1, 1
 	for _, s := range samples {
-		i := int(s.ended.Sub(began) / columnTime)
+		i := int(s.ended.Sub(began) / columnDuration)
 		if columns[i] == nil {
 			columns[i] = map[string]int{}
 		}
@@ -45,10 +45,10 @@
 		}
 	}
 	for i, e := range events {
-		x := int(e.At/columnTime) * columnWidth
+		x := int(e.At/columnDuration) * columnWidth
 		y := plotHeight + lineHeight*(i+1)
 		fmt.Fprintf(&b, `<rect x="%d" y="%d" width="%d" height="7" fill="#99c"/><text x="%d" y="%d">%s</text>`,
-			x, y-7, max(2, int((e.Until-e.At)/columnTime)*columnWidth), x, y, e)
+			x, y-7, max(2, int((e.Until-e.At)/columnDuration)*columnWidth), x, y, e)
 	}
 	b.WriteString("</svg>\n")
 	return b.Bytes()
