--- a/cmd/comfreyd/dev.go
+++ b/cmd/comfreyd/dev.go
@@ -115,7 +115,7 @@
 	for _, a := range agents {
 		ready := false
 		a.Inspect(func(w *table.World) {
-			ready = w.Self.Beat.Applied >= version && len(w.Members) == len(agents)-1 && len(w.Self.Upstreams) > 0
+			ready = w.Self.Heartbeat.Applied >= version && len(w.Members) == len(agents)-1 && len(w.Self.Upstreams) > 0
 			for _, m := range w.Members {
 				ready = ready && len(m.Upstreams) > 0
 			}
--- a/cmd/comfreyd/platform.go
+++ b/cmd/comfreyd/platform.go
@@ -21,7 +21,7 @@
 	if s.Platform.Enabled() {
 		opts.Dialect = platform.Dialect()
 		opts.Source = platform.NewSource(log, logger)
-		opts.Teller = platform.NewStatuses(log)
+		opts.StatusPublisher = platform.NewStatuses(log)
 	}
 	return opts
 }
@@ -31,10 +31,10 @@
 	if !p.Enabled() {
 		return nil
 	}
-	place := platform.Place{Service: p.Service, Addr: p.Upstream}
-	err := a.Listen("platform.ready", p.Ready, platform.Ready(a.Ready))
+	place := platform.LocalUpstream{Service: p.Service, Addr: p.Upstream}
+	err := a.Listen("platform.ready", p.Ready, platform.NewReadyHandler(a.Ready))
 	if err == nil {
-		err = a.Listen("platform.heartbeats", p.Heartbeats, platform.Heartbeats(a, place, a.Metrics(), logger))
+		err = a.Listen("platform.heartbeats", p.Heartbeats, platform.NewHeartbeatHandler(a, place, a.Metrics(), logger))
 	}
 	if err == nil {
 		err = a.Listen("platform.metrics", p.Metrics, metricsText(a.Metrics()))
--- a/cmd/comfreyd/run.go
+++ b/cmd/comfreyd/run.go
@@ -144,7 +144,7 @@
 			return "", errors.Errorf("admin.token_file: %s is empty", s.Admin.TokenFile)
 		}
 	}
-	if token == "" && !settings.Loopback(s.Listen.Admin) {
+	if token == "" && !settings.IsLoopback(s.Listen.Admin) {
 		return "", errors.Errorf("listen.admin: %s is not a loopback address and there is no token (admin.token_file or %s)", s.Listen.Admin, tokenVariable)
 	}
 	return token, nil
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -108,12 +108,12 @@
 		return h.query(st.Query)
 	case st.Reseed:
 		return h.reseed(ctx)
-	case st.Clear != "":
-		return h.clearSuspect(st.Clear)
+	case st.ClearSuspect != "":
+		return h.clearSuspect(st.ClearSuspect)
 	case st.Rollout != nil:
-		return h.rolloutAnswer("rollout", h.agent.OrderRollout(st.Rollout.Service, st.Rollout.Target, st.Rollout.Within)), nil
-	case st.Abort != "":
-		return h.rolloutAnswer("abort-rollout", h.agent.AbortRollout(st.Abort)), nil
+		return h.rolloutAnswer("rollout", h.agent.OrderRollout(st.Rollout.Service, st.Rollout.Target, st.Rollout.Duration)), nil
+	case st.AbortRollout != "":
+		return h.rolloutAnswer("abort-rollout", h.agent.AbortRollout(st.AbortRollout)), nil
 	}
 	cmd := config.Command{
 		ID: req.CommandID.Or(""), Author: req.Author.Or(""), IfVersion: st.IfVersion, Changes: st.Changes,
@@ -139,7 +139,7 @@
 // precondition, the precondition is the version that this daemon has, which is the one
 // that the operator was last shown.
 func (h *handler) submit(ctx context.Context, cmd config.Command, force, dryRun bool) (*api.Answer, error) {
-	current := h.agent.Held()
+	current := h.agent.CurrentConfig()
 	if cmd.IfVersion == nil && !force {
 		cmd.IfVersion = &current.Version
 	}
@@ -147,7 +147,7 @@
 		return dryRunAnswer(current, cmd), nil
 	}
 	o := h.agent.Submit(ctx, cmd)
-	return outcomeAnswer(h.agent.Held().Version, o), nil
+	return outcomeAnswer(h.agent.CurrentConfig().Version, o), nil
 }
 
 const dryRunID = "dry-run"
@@ -155,7 +155,7 @@
 func dryRunAnswer(current *config.State, cmd config.Command) *api.Answer {
 	cmd.ID = dryRunID
 	out := api.Outcome{CommandID: cmd.ID, Status: api.OutcomeStatusValid}
-	if err := config.Check(current, cmd); err != nil {
+	if err := config.DryRun(current, cmd); err != nil {
 		out.Status = api.OutcomeStatusRejected
 		out.Reason = api.NewOptString(err.Error())
 	}
@@ -197,5 +197,5 @@
 		out.Status = api.OutcomeStatusRejected
 		out.Reason = api.NewOptString("no upstream has ended under it as far as this daemon knows")
 	}
-	return &api.Answer{Kind: api.AnswerKindOutcome, Version: int64(h.agent.Held().Version), Outcome: api.NewOptOutcome(out)}, nil
+	return &api.Answer{Kind: api.AnswerKindOutcome, Version: int64(h.agent.CurrentConfig().Version), Outcome: api.NewOptOutcome(out)}, nil
 }
--- a/internal/admin/query.go
+++ b/internal/admin/query.go
@@ -33,7 +33,7 @@
 	world    *table.World
 	now      time.Time
 	loads    map[string]outcome.Load
-	unknowns []agent.Unknown
+	unknowns []agent.UnknownCommand
 }
 
 // tables maps the name of a table to the function that returns its rows.
@@ -61,7 +61,7 @@
 		names := slices.Sorted(maps.Keys(tables))
 		return nil, &badRequestError{step: "query", err: errors.Errorf("no table %q: the tables are %s", q.Table, strings.Join(names, ", "))}
 	}
-	snap := snapshot{now: time.Now(), loads: h.agent.Loads(), unknowns: h.agent.Unknowns()}
+	snap := snapshot{now: time.Now(), loads: h.agent.Loads(), unknowns: h.agent.UnknownCommands()}
 	var res result
 	var version uint64
 	h.agent.Inspect(func(w *table.World) {
@@ -118,10 +118,10 @@
 	r := result{columns: []string{"vm", "domain", "state", "version", "current", "age", "admin"}}
 	s.eachMember(func(m wire.Member, state string, age time.Duration) {
 		current := "yes"
-		if m.Beat.Applied < s.world.Config.State.Version {
+		if m.Heartbeat.Applied < s.world.Config.State.Version {
 			current = "no"
 		}
-		r.add(m.ID, m.Domain, state, formatVersion(m.Beat.Applied), current, age.Truncate(time.Second).String(), m.Admin)
+		r.add(m.ID, m.Domain, state, formatVersion(m.Heartbeat.Applied), current, age.Truncate(time.Second).String(), m.Admin)
 	})
 	return r
 }
@@ -138,7 +138,7 @@
 		switch {
 		case state != "live":
 			c.gone++
-		case m.Beat.Applied >= s.world.Config.State.Version:
+		case m.Heartbeat.Applied >= s.world.Config.State.Version:
 			c.live++
 			c.current++
 		default:
@@ -186,7 +186,7 @@
 			return
 		}
 		live++
-		if m.Beat.Applied >= rev {
+		if m.Heartbeat.Applied >= rev {
 			applied++
 		}
 	})
@@ -317,11 +317,11 @@
 		switch {
 		case rec.Quarantined():
 			state = "quarantined"
-		case len(rec.Ends) > 0:
+		case len(rec.Crashes) > 0:
 			state = "suspected"
 		}
 		age := s.now.Sub(time.UnixMilli(rec.At)).Truncate(time.Second)
-		r.add(rec.Digest.String(), state, strconv.Itoa(len(rec.Ends)), strconv.Itoa(int(rec.Round)), age.String())
+		r.add(rec.Digest.String(), state, strconv.Itoa(len(rec.Crashes)), strconv.Itoa(int(rec.Round)), age.String())
 	}
 	return r
 }
--- a/internal/admin/rollouts.go
+++ b/internal/admin/rollouts.go
@@ -25,7 +25,7 @@
 		age := s.now.Sub(ro.Since)
 		tally := ro.Tally()
 		r.add(service, ro.Target, formatVersion(ro.ID), ro.Phase.String(), age.Truncate(time.Second).String(), ro.Duration.String(),
-			s.share(ro.Record, ro.Stop, age), formatCount(tally.Sum(true)), formatCount(tally.Sum(false)), cmp.Or(ro.Why, ro.Stop, "-"))
+			s.share(ro.Record, ro.StopReason, age), formatCount(tally.Sum(true)), formatCount(tally.Sum(false)), cmp.Or(ro.Why, ro.StopReason, "-"))
 	}
 	return r
 }
@@ -40,7 +40,7 @@
 	}
 	plan := s.world.Plan(r.Duration)
 	target, others := s.world.UpstreamsOf(r.Service, r.Target)
-	canaries := plan.AtOnce(len(plan.Choose(target, others)), others)
+	canaries := plan.ActiveCanaries(len(plan.ChooseCanaries(target, others)), others)
 	return fmt.Sprintf("%.1f%%", 100*plan.Share(age, canaries, others))
 }
 
@@ -55,7 +55,7 @@
 	out := api.Outcome{CommandID: id, Status: api.OutcomeStatusAccepted}
 	var refused *agent.RefusedError
 	switch {
-	case errors.As(err, &refused) || store.Moved(err):
+	case errors.As(err, &refused) || store.IsOffsetConflict(err):
 		out.Status = api.OutcomeStatusRejected
 	case err != nil:
 		out.Status = api.OutcomeStatusUnknown
@@ -63,5 +63,5 @@
 	if err != nil {
 		out.Reason = api.NewOptString(err.Error())
 	}
-	return &api.Answer{Kind: api.AnswerKindOutcome, Version: int64(h.agent.Held().Version), Outcome: api.NewOptOutcome(out)}
+	return &api.Answer{Kind: api.AnswerKindOutcome, Version: int64(h.agent.CurrentConfig().Version), Outcome: api.NewOptOutcome(out)}
 }
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -21,7 +21,7 @@
 	s := w.Config.State
 	out.VM = w.Self.ID
 	out.FailureDomain = w.Self.Domain
-	out.Version = int64(w.Self.Beat.Applied)
+	out.Version = int64(w.Self.Heartbeat.Applied)
 	out.Hash = s.Hash
 	out.Members = 1
 	out.LogUp = w.Log.Up
@@ -30,7 +30,7 @@
 	if w.MembersTree.Parent != "" {
 		out.Parent = api.NewOptString(w.MembersTree.Parent)
 	}
-	if w.Self.Beat.Applied >= s.Version {
+	if w.Self.Heartbeat.Applied >= s.Version {
 		out.Applied++
 	} else {
 		out.Lagging = append(out.Lagging, w.Self.ID)
@@ -41,7 +41,7 @@
 			continue
 		}
 		out.Members++
-		if row.Beat.Applied >= s.Version {
+		if row.Heartbeat.Applied >= s.Version {
 			out.Applied++
 		} else {
 			out.Lagging = append(out.Lagging, id)
--- a/internal/admission/flow_test.go
+++ b/internal/admission/flow_test.go
@@ -57,7 +57,7 @@
 				continue
 			}
 			offered[i]++
-			a := Ask{Urgency: config.Normal, Deadline: at.Add(2 * time.Second), Objective: at.Add(time.Second)}
+			a := Request{Urgency: config.Normal, Deadline: at.Add(2 * time.Second), Objective: at.Add(time.Second)}
 			if withFlows {
 				a.Flow = fmt.Sprint("ws", i)
 			}
@@ -111,10 +111,10 @@
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	g := New(func() time.Time { return at }, 1, 4, at.Add(-time.Hour))
-	g.Enter(Ask{Urgency: config.Normal, Deadline: at.Add(time.Hour)})
+	g.Enter(Request{Urgency: config.Normal, Deadline: at.Add(time.Hour)})
 	most := 0
 	for i := range 10_000 {
-		g.Enter(Ask{Urgency: config.Normal, Flow: fmt.Sprint("ws", i), Deadline: at.Add(time.Hour)})
+		g.Enter(Request{Urgency: config.Normal, Flow: fmt.Sprint("ws", i), Deadline: at.Add(time.Hour)})
 		g.Release(time.Millisecond)
 		most = max(most, len(g.flows.nextStart))
 	}
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -100,7 +100,7 @@
 
 // Acquire waits for a slot. An empty reason means that the attempt has one and must
 // release it; otherwise it was refused and must not run.
-func (g *Gate) Acquire(ctx context.Context, a Ask) (outcome.Reason, time.Duration) {
+func (g *Gate) Acquire(ctx context.Context, a Request) (outcome.Reason, time.Duration) {
 	w, reason, after := g.Enter(a)
 	if w == nil {
 		return reason, after
@@ -110,9 +110,9 @@
 	select {
 	case <-w.decided:
 	case <-refuseTimer.C:
-		g.Quit(w, outcome.ReasonDeadline)
+		g.Withdraw(w, outcome.ReasonDeadline)
 	case <-ctx.Done():
-		g.Quit(w, outcome.CancelReason(ctx))
+		g.Withdraw(w, outcome.CancelReason(ctx))
 	}
 	<-w.decided
 	if w.refused == "" {
@@ -122,7 +122,7 @@
 }
 
 // Enter admits, queues or refuses an attempt. The waiter is nil if the decision is final.
-func (g *Gate) Enter(a Ask) (*Waiter, outcome.Reason, time.Duration) {
+func (g *Gate) Enter(a Request) (*Waiter, outcome.Reason, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed != "" {
@@ -149,9 +149,9 @@
 }
 
 // newWaiter returns a waiter for an attempt, with its rank.
-func (g *Gate) newWaiter(a Ask) *Waiter {
+func (g *Gate) newWaiter(a Request) *Waiter {
 	return &Waiter{
-		Ask: a, rank: rank{urgency: a.Urgency, priority: g.hasPriority(a)}, start: g.flows.start(a.Flow), arrival: g.arrivals, decided: make(chan struct{}),
+		Request: a, rank: rank{urgency: a.Urgency, priority: g.hasPriority(a)}, start: g.flows.start(a.Flow), arrival: g.arrivals, decided: make(chan struct{}),
 	}
 }
 
@@ -165,14 +165,14 @@
 // slot at the parent's upstream. Where slots are scarcer there, that costs more than a
 // slot here; otherwise priority would only take a slot here from calls that may be more
 // urgent.
-func (g *Gate) hasPriority(a Ask) bool {
-	return a.Nested && a.ParentServed < shortageThreshold && a.ParentServed < g.direct.fraction(g.now())
+func (g *Gate) hasPriority(a Request) bool {
+	return a.Nested && a.ParentServedFraction < shortageThreshold && a.ParentServedFraction < g.direct.fraction(g.now())
 }
 
 // mayQueue reports whether an attempt may wait: it would be admitted in time, and there
 // is a place in the queue, or a waiter of lower rank that can be displaced.
 func (g *Gate) mayQueue(w *Waiter) bool {
-	if g.expectedWait(w) > g.maxWait(w.Ask) {
+	if g.expectedWait(w) > g.maxWait(w.Request) {
 		return false
 	}
 	if len(g.queue) < g.maxQueue {
@@ -200,7 +200,7 @@
 // says. A run that makes several calls fails if one of them is refused, and the work of
 // the others is wasted; with one lot for all of them they are refused together or not at
 // all.
-func (g *Gate) maxWait(a Ask) time.Duration {
+func (g *Gate) maxWait(a Request) time.Duration {
 	now := g.now()
 	untilDeadline := a.Deadline.Sub(now)
 	if a.Objective.IsZero() {
@@ -208,14 +208,14 @@
 	}
 	allowed := max(maxWaitFraction*float64(a.Objective.Sub(now)-g.meanService), minWaitFraction*float64(g.meanService))
 	if a.Nested && !g.hasPriority(a) {
-		allowed *= a.Lot
+		allowed *= a.WaitFraction
 	}
 	return min(untilDeadline, time.Duration(allowed))
 }
 
 // Check returns the reason for which an attempt would be refused if it arrived now. An
 // empty reason means that it would be admitted, or wait.
-func (g *Gate) Check(a Ask) (outcome.Reason, time.Duration) {
+func (g *Gate) Check(a Request) (outcome.Reason, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
@@ -285,13 +285,13 @@
 		heap.Remove(&g.queue, w.index)
 		g.flows.dequeue(w.start)
 		g.inFlight++
-		g.recordDirect(w.Ask, true)
+		g.recordDirect(w.Request, true)
 		close(w.decided)
 	}
 }
 
-// Quit refuses a waiter that gave up, unless it has been decided in the meantime.
-func (g *Gate) Quit(w *Waiter, reason outcome.Reason) {
+// Withdraw refuses a waiter that gave up, unless it has been decided in the meantime.
+func (g *Gate) Withdraw(w *Waiter, reason outcome.Reason) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
@@ -305,7 +305,7 @@
 	heap.Remove(&g.queue, w.index)
 	g.flows.withdraw(w.Flow, w.start)
 	if reason != outcome.ReasonCancelled {
-		g.recordDirect(w.Ask, false)
+		g.recordDirect(w.Request, false)
 	}
 	w.refused = reason
 	close(w.decided)
@@ -318,9 +318,9 @@
 	return outcome.Load{InFlight: g.inFlight, Queued: len(g.queue), Slots: g.limit(), Service: g.meanService}
 }
 
-// Report records how many attempts the upstream says it is running. It is called for an
+// RecordRunning records how many attempts the upstream says it is running. It is called for an
 // answer whose attempt still counts as in flight.
-func (g *Gate) Report(running int) {
+func (g *Gate) RecordRunning(running int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.lost.record(g.now(), g.inFlight-1-running)
@@ -329,14 +329,14 @@
 
 // recordDirect counts a decision on a call that is not nested. Nested calls do not count,
 // since whether they are served follows from their rank.
-func (g *Gate) recordDirect(a Ask, admitted bool) {
+func (g *Gate) recordDirect(a Request, admitted bool) {
 	if !a.Nested {
 		g.direct.record(g.now(), admitted)
 	}
 }
 
-// Served returns the recently served fraction of the calls that are not nested.
-func (g *Gate) Served() float64 {
+// ServedFraction returns the recently served fraction of the calls that are not nested.
+func (g *Gate) ServedFraction() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.direct.fraction(g.now())
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -55,7 +55,7 @@
 			queue = queue[1:]
 		}
 		if ms%20 == 0 || ms%60 == 10 || ms%60 == 30 { // 83 per second; the slots serve 30
-			w, reason, _ := g.Enter(Ask{
+			w, reason, _ := g.Enter(Request{
 				Urgency: config.Normal, Deadline: at.Add(6 * time.Second), Objective: at.Add(objective),
 			})
 			switch {
@@ -94,7 +94,7 @@
 	g := New(func() time.Time { return at }, 8, 8, time.Time{})
 	g.Release(time.Second)
 	g.inFlight = 8
-	late := Ask{Urgency: config.Normal, Deadline: at.Add(time.Minute), Objective: at.Add(-time.Second)}
+	late := Request{Urgency: config.Normal, Deadline: at.Add(time.Minute), Objective: at.Add(-time.Second)}
 	for range 2 { // a quarter of the service time: two places of eight
 		_, reason, _ := g.Enter(late)
 		is.Equal(reason, outcome.Reason(""))
--- a/internal/admission/lost_test.go
+++ b/internal/admission/lost_test.go
@@ -31,7 +31,7 @@
 				continue
 			}
 			if reports {
-				g.Report(running)
+				g.RecordRunning(running)
 			}
 			g.Release(service * time.Millisecond)
 		}
@@ -41,10 +41,10 @@
 		if ms%10 != 0 {
 			continue
 		}
-		w, reason, _ := g.Enter(Ask{Urgency: config.Normal, Objective: at, Deadline: at.Add(deadline * time.Millisecond)})
+		w, reason, _ := g.Enter(Request{Urgency: config.Normal, Objective: at, Deadline: at.Add(deadline * time.Millisecond)})
 		if reason != "" || w != nil {
 			if w != nil {
-				g.Quit(w, outcome.ReasonCancelled) // attempts that would wait are not counted
+				g.Withdraw(w, outcome.ReasonCancelled) // attempts that would wait are not counted
 			}
 			continue
 		}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -14,19 +14,19 @@
 	priority bool
 }
 
-// Ask describes an attempt that requests a slot from a Gate.
-type Ask struct {
+// Request describes an attempt that requests a slot from a Gate.
+type Request struct {
 	Urgency config.Urgency
 	// Flow names the flow that the attempt belongs to: the attempts of one flow wait for
 	// each other, and flows of equal urgency take turns.
 	Flow   string
 	Nested bool
-	// ParentServed is the recently served fraction of the direct calls at the upstream
+	// ParentServedFraction is the recently served fraction of the direct calls at the upstream
 	// that makes a nested call.
-	ParentServed float64
-	// Lot is a number from 0 to 1 that all nested calls of one caller's request share.
-	Lot      float64
-	Deadline time.Time
+	ParentServedFraction float64
+	// WaitFraction is a number from 0 to 1 that all nested calls of one caller's request share.
+	WaitFraction float64
+	Deadline     time.Time
 	// Objective is the time by which the answer should arrive, or zero if only the
 	// deadline matters.
 	Objective time.Time
@@ -42,7 +42,7 @@
 
 // Waiter is an attempt in the queue.
 type Waiter struct {
-	Ask
+	Request
 	rank
 	// start is the attempt's start tag among all flows, arrival its number among all
 	// arrivals.
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -26,7 +26,7 @@
 		if i%3 == 0 {
 			timeLeft = 2500 * time.Millisecond
 		}
-		w, reason, _ := g.Enter(Ask{Urgency: config.Normal, Deadline: at.Add(timeLeft)})
+		w, reason, _ := g.Enter(Request{Urgency: config.Normal, Deadline: at.Add(timeLeft)})
 		if reason == "" {
 			served[timeLeft]++
 			if w != nil {
@@ -53,9 +53,9 @@
 	deadline := time.Now().Add(100 * time.Millisecond)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	reason, _ := g.Acquire(ctx, Ask{Urgency: config.Normal, Deadline: deadline})
+	reason, _ := g.Acquire(ctx, Request{Urgency: config.Normal, Deadline: deadline})
 	is.Equal(reason, outcome.Reason("")) // takes the only slot
-	reason, _ = g.Acquire(ctx, Ask{Urgency: config.Normal, Deadline: deadline})
+	reason, _ = g.Acquire(ctx, Request{Urgency: config.Normal, Deadline: deadline})
 	is.Equal(reason, outcome.ReasonDeadline)
 	is.NoErr(ctx.Err()) // there is time left to send the refusal
 }
@@ -68,7 +68,7 @@
 	at := time.Unix(1000, 0)
 	g := New(func() time.Time { return at }, 1, 2, time.Time{})
 	enter := func(u config.Urgency, nested bool, parentServed float64) *Waiter {
-		w, _, _ := g.Enter(Ask{Urgency: u, Nested: nested, ParentServed: parentServed, Deadline: at.Add(time.Minute)})
+		w, _, _ := g.Enter(Request{Urgency: u, Nested: nested, ParentServedFraction: parentServed, Deadline: at.Add(time.Minute)})
 		return w
 	}
 	refused := func(w *Waiter) bool {
@@ -104,7 +104,7 @@
 	for i := range 100 {
 		g.direct.record(at, i%2 == 0)
 	}
-	is.True(!g.hasPriority(Ask{Nested: true, ParentServed: 0.8}))
-	is.True(g.hasPriority(Ask{Nested: true, ParentServed: 0.4}))
-	is.True(!g.hasPriority(Ask{ParentServed: 0.4})) // not nested
+	is.True(!g.hasPriority(Request{Nested: true, ParentServedFraction: 0.8}))
+	is.True(g.hasPriority(Request{Nested: true, ParentServedFraction: 0.4}))
+	is.True(!g.hasPriority(Request{ParentServedFraction: 0.4})) // not nested
 }
--- a/internal/admission/share_test.go
+++ b/internal/admission/served_test.go
@@ -64,7 +64,7 @@
 	return s
 }
 
-func (s *twoServices) call(c simulatedCall, a Ask, objective, deadline time.Duration) {
+func (s *twoServices) call(c simulatedCall, a Request, objective, deadline time.Duration) {
 	a.Objective, a.Deadline = s.at.Add(objective), s.at.Add(deadline)
 	w, reason, _ := c.gate.Enter(a)
 	c.Waiter = w
@@ -92,7 +92,7 @@
 			s.nested()
 		}
 	}
-	s.call(c, Ask{Urgency: config.Background}, 200*time.Millisecond, 800*time.Millisecond)
+	s.call(c, Request{Urgency: config.Background}, 200*time.Millisecond, 800*time.Millisecond)
 }
 
 func (s *twoServices) nested() {
@@ -106,13 +106,13 @@
 		}
 		s.upper.Release(60*time.Millisecond + s.at.Sub(began))
 	}
-	parentServed := s.upper.Served()
+	parentServed := s.upper.ServedFraction()
 	if s.hideShortage {
 		parentServed = 1
 	}
 	s.requests++
 	_, lot := math.Modf(float64(s.requests) * math.Phi)
-	a := Ask{Urgency: config.Background, Nested: true, ParentServed: parentServed, Lot: lot}
+	a := Request{Urgency: config.Background, Nested: true, ParentServedFraction: parentServed, WaitFraction: lot}
 	s.call(c, a, 60*time.Millisecond, 200*time.Millisecond)
 }
 
@@ -123,7 +123,7 @@
 			s.critical++
 		}
 	}
-	s.call(c, Ask{Urgency: config.Critical}, 250*time.Millisecond, time.Second)
+	s.call(c, Request{Urgency: config.Critical}, 250*time.Millisecond, time.Second)
 }
 
 func (s *twoServices) tick() {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -53,8 +53,8 @@
 	// Source delivers the configuration. If nil, the configuration is built from the commands
 	// on the log.
 	Source DocumentSource
-	// Teller publishes the status of rollouts for operators. If nil, operators query a daemon.
-	Teller Teller
+	// StatusPublisher publishes the status of rollouts for operators. If nil, operators query a daemon.
+	StatusPublisher StatusPublisher
 	// Dialect names the HTTP headers used with callers and upstreams.
 	Dialect callpath.Dialect
 }
@@ -67,7 +67,7 @@
 	metrics       metrics.Registry
 	configMetrics *configMetrics
 	source        DocumentSource
-	rolloutStatus Teller
+	rolloutStatus StatusPublisher
 	self          wire.Member
 	clock         *event.Clock
 	events        *event.Ring
@@ -128,12 +128,12 @@
 	}
 	now := time.Now()
 	a := &Agent{
-		settings: s, log: opts.Log, logger: opts.Logger, source: opts.Source, rolloutStatus: opts.Teller, metrics: metrics.NewRegistry(),
+		settings: s, log: opts.Log, logger: opts.Logger, source: opts.Source, rolloutStatus: opts.StatusPublisher, metrics: metrics.NewRegistry(),
 		clock: event.NewClock(time.Now), listeners: ls,
 		inputs: make(chan system.Input, inputQueueSize),
 	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
-	a.events = event.NewRing(s.VM, a.clock, s.Events)
+	a.events = event.NewRing(s.VM, a.clock, s.MaxEvents)
 	a.commands.waiters = map[string][]chan struct{}{}
 	seed := uint64(now.UnixNano())
 	a.self = a.selfMember(now)
@@ -152,12 +152,12 @@
 	a.owner = callpath.NewOwner(callpath.OwnerConfig{
 		Incarnation: a.world.Self.Incarnation, QueueFactor: s.Calls.QueueFactor,
 		ConnectTimeout: time.Duration(s.Calls.ConnectTimeout), IdleTimeout: time.Duration(s.Calls.UpstreamIdle),
-		LinkMbps: s.Calls.LinkMbps, Suspects: a.suspects, Keeper: limiter, Events: a.events, Metrics: m, Dialect: opts.Dialect, Logger: opts.Logger, Now: time.Now,
+		LinkMbps: s.Calls.LinkMbps, Suspects: a.suspects, LimitCoordinator: limiter, Events: a.events, Metrics: m, Dialect: opts.Dialect, Logger: opts.Logger, Now: time.Now,
 	})
 	a.ingress = callpath.NewIngress(callpath.IngressConfig{
 		VM: s.VM, Domain: s.FailureDomain, Caller: s.Platform.Service, MaxBody: s.Calls.MaxBody,
 		ConnectTimeout: time.Duration(s.Calls.ConnectTimeout), Source: s.Listen.SourceAddr(), InquireAfter: time.Duration(s.Calls.InquireAfter),
-		Limits: limiter, Revoke: time.Duration(s.Bounds.Revoke), RetryRatio: s.Calls.RetryRatio, RetryBurst: s.Calls.RetryBurst, CrossDomainCost: s.Calls.CrossDomainCost,
+		Limits: limiter, MaxConfigAge: time.Duration(s.Bounds.Revoke), RetryRatio: s.Calls.RetryRatio, RetryBurst: s.Calls.RetryBurst, CrossDomainCost: s.Calls.CrossDomainCost,
 		Suspects: a.suspects, Events: a.events, Metrics: m, Logger: opts.Logger, Dialect: opts.Dialect, Now: time.Now, Seed: seed,
 	}, a.owner)
 	return a, nil
--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -25,8 +25,8 @@
 // is delivered by a DocumentSource.
 const reasonManagedByPlatform = "the configuration here is the platform operator's: change it there"
 
-// Unknown is a command whose outcome was not known in time.
-type Unknown struct {
+// UnknownCommand is a command whose outcome was not known in time.
+type UnknownCommand struct {
 	ID     string
 	Author string
 	Reason string
@@ -38,7 +38,7 @@
 	mu      sync.Mutex
 	state   *config.State
 	waiters map[string][]chan struct{}
-	unknown []Unknown
+	unknown []UnknownCommand
 }
 
 // update stores the new state. It wakes the waiters whose command has an outcome in it, and
@@ -92,22 +92,22 @@
 	return t.state.Outcome(id)
 }
 
-func (t *commandTable) recordUnknown(u Unknown) {
+func (t *commandTable) recordUnknown(u UnknownCommand) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.unknown = append(t.unknown, u)
 	t.unknown = t.unknown[max(0, len(t.unknown)-maxUnknownCommands):]
 }
 
-// Unknowns returns the commands submitted here whose outcome is not known.
-func (a *Agent) Unknowns() []Unknown {
+// UnknownCommands returns the commands submitted here whose outcome is not known.
+func (a *Agent) UnknownCommands() []UnknownCommand {
 	a.commands.mu.Lock()
 	defer a.commands.mu.Unlock()
-	return append([]Unknown(nil), a.commands.unknown...)
+	return append([]UnknownCommand(nil), a.commands.unknown...)
 }
 
-// Held returns this daemon's current configuration.
-func (a *Agent) Held() *config.State {
+// CurrentConfig returns this daemon's current configuration.
+func (a *Agent) CurrentConfig() *config.State {
 	s := config.Empty()
 	a.Inspect(func(w *table.World) { s = w.Config.State })
 	return s
@@ -153,7 +153,7 @@
 }
 
 func (a *Agent) unknownOutcome(cmd config.Command, reason string) config.Outcome {
-	a.commands.recordUnknown(Unknown{ID: cmd.ID, Author: cmd.Author, Reason: reason, At: time.Now()})
+	a.commands.recordUnknown(UnknownCommand{ID: cmd.ID, Author: cmd.Author, Reason: reason, At: time.Now()})
 	return config.Outcome{ID: cmd.ID, Author: cmd.Author, Status: config.StatusUnknown, Reason: reason}
 }
 
@@ -186,7 +186,7 @@
 		return "this daemon follows the log, itself or through its peers: no reseed is needed (show alarms at a root)"
 	}
 	for id, row := range w.Members {
-		if !row.Lapsed && row.Beat.Applied > w.Config.State.Version {
+		if !row.Lapsed && row.Heartbeat.Applied > w.Config.State.Version {
 			return "daemon " + id + " has a later version in force: run reseed on that daemon"
 		}
 	}
--- a/internal/agent/configmetrics.go
+++ b/internal/agent/configmetrics.go
@@ -52,7 +52,7 @@
 // confirmedAgeMs returns how long ago the current version was last known to be the newest on
 // the store.
 func (m *configMetrics) confirmedAgeMs() int64 {
-	stamp := freshness.Stamp(m.lastConfirmed.Load())
+	stamp := freshness.Timestamp(m.lastConfirmed.Load())
 	if stamp == 0 {
 		return -1
 	}
@@ -62,7 +62,7 @@
 // update copies the version, its freshness and its installation time after a tick.
 func (m *configMetrics) update(w *table.World) {
 	m.version.Store(w.Config.State.Version)
-	m.lastConfirmed.Store(int64(w.Fresh.Stamp))
+	m.lastConfirmed.Store(int64(w.Fresh.Timestamp))
 	if !w.Config.Since.IsZero() {
 		m.installedAtMs.Store(w.Config.Since.UnixMilli())
 	}
--- a/internal/agent/fleet_test.go
+++ b/internal/agent/fleet_test.go
@@ -156,7 +156,7 @@
 // converged waits until the version is in force on every daemon and returns the time at which
 // each applied it.
 func (f *fleet) converged(version uint64) []time.Time {
-	f.await("version in force", func(w *table.World) bool { return w.Self.Beat.Applied >= version })
+	f.await("version in force", func(w *table.World) bool { return w.Self.Heartbeat.Applied >= version })
 	times := make([]time.Time, 0, len(f.agents))
 	for _, a := range f.agents {
 		for _, e := range a.Events().List() {
--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -36,7 +36,7 @@
 	t.Cleanup(up.Close)
 	f.converged(f.publish(0))
 	f.agents[0].Announce(agent.Announcement{
-		ID: "u", Life: "1", Service: "s0", Addr: up.Listener.Addr().String(), Slots: 8, Connections: 16,
+		ID: "u", Incarnation: "1", Service: "s0", Addr: up.Listener.Addr().String(), Slots: 8, Connections: 16,
 	})
 	f.await("the upstream is known", func(w *table.World) bool {
 		ups := w.Self.Upstreams
--- a/internal/agent/local.go
+++ b/internal/agent/local.go
@@ -20,11 +20,11 @@
 type Announcement struct {
 	// ID identifies the upstream. It is unique on the VM.
 	ID string `json:"id"`
-	// Life identifies the incarnation of the upstream: it differs between two processes that
+	// Incarnation identifies the incarnation of the upstream: it differs between two processes that
 	// announce the same ID, so that a restarted upstream is not mistaken for the previous one.
 	// It may be any text.
-	Life    string `json:"life"`
-	Service string `json:"service"`
+	Incarnation string `json:"life"`
+	Service     string `json:"service"`
 	// Version is the version of the upstream's software: any text, or "".
 	Version string `json:"version"`
 	// Addr is the address at which the upstream accepts calls, as IP:port.
@@ -36,9 +36,9 @@
 	// Process is the ID that is sent with calls to the upstream, if it checks that they are
 	// meant for its own process.
 	Process string `json:"-"`
-	// Born is when this incarnation of the upstream started, in Unix milliseconds, or zero if
+	// StartedMs is when this incarnation of the upstream started, in Unix milliseconds, or zero if
 	// unknown. If known, a later value under the same ID is another incarnation.
-	Born int64 `json:"-"`
+	StartedMs int64 `json:"-"`
 	// Draining is set if the upstream accepts no new calls.
 	Draining bool `json:"-"`
 	// Sequence increases with each announcement of an incarnation; zero: not numbered.
@@ -123,15 +123,15 @@
 func (a *Agent) Announce(n Announcement) {
 	name := a.upstreamName(n.ID)
 	a.input(system.Announced{Local: table.Local{
-		Upstream: wire.Upstream{ID: incarnationID(name, n.Born), Service: n.Service, Version: n.Version, Slots: n.Slots, Draining: n.Draining},
-		Name:     name, Life: n.Life, Born: n.Born, Addr: n.Addr, Conns: n.Connections, Process: n.Process, Sequence: n.Sequence,
+		Upstream: wire.Upstream{ID: incarnationID(name, n.StartedMs), Service: n.Service, Version: n.Version, Slots: n.Slots, Draining: n.Draining},
+		Name:     name, Incarnation: n.Incarnation, StartedMs: n.StartedMs, Addr: n.Addr, Conns: n.Connections, Process: n.Process, Sequence: n.Sequence,
 	}})
 	a.Inspect(noop)
 }
 
-// Withdraw deregisters an upstream. When it returns, the upstream gets no new calls.
-func (a *Agent) Withdraw(id string) {
-	a.input(system.Withdrawn{ID: a.upstreamName(id)})
+// Deregister deregisters an upstream. When it returns, the upstream gets no new calls.
+func (a *Agent) Deregister(id string) {
+	a.input(system.Deregistered{ID: a.upstreamName(id)})
 	a.Inspect(noop)
 }
 
@@ -139,11 +139,11 @@
 // gets no new calls, and a delayed announcement does not register it again. Born is the start
 // of the incarnation that exits; zero: the registered one.
 func (a *Agent) Remove(id string, born int64) {
-	a.input(system.Removed{Name: a.upstreamName(id), Born: born})
+	a.input(system.Removed{Name: a.upstreamName(id), StartedMs: born})
 	a.Inspect(noop)
 }
 
 func (a *Agent) serveWithdraw(w http.ResponseWriter, r *http.Request) {
-	a.Withdraw(r.PathValue("id"))
+	a.Deregister(r.PathValue("id"))
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -135,7 +135,7 @@
 		a.install(view.Build(a.world, a.view))
 	}
 	if a.view != nil && a.view.Version >= a.world.Config.State.Version {
-		a.ingress.Vouch(out.Stamp)
+		a.ingress.SetFreshAt(out.FreshAt)
 	}
 	a.configMetrics.update(a.world)
 	for _, e := range out.Events {
@@ -165,7 +165,7 @@
 	switch e.Kind {
 	case event.Alarm:
 		level = a.logger.Error()
-	case event.LogDown, event.DocumentRefused, event.LinkLost, event.UpstreamGone, event.Quarantined, event.RolloutStopped, event.RolloutRefused, event.ConfigStale:
+	case event.LogDown, event.DocumentRefused, event.LinkLost, event.UpstreamRemoved, event.Quarantined, event.RolloutStopped, event.RolloutRefused, event.ConfigStale:
 		level = a.logger.Warn()
 	case event.CommandAccepted, event.CommandRejected, event.Applied, event.LogUp, event.UpstreamUp, event.UpstreamDraining,
 		event.Rollout, event.DocumentRead, event.MemberUp, event.MemberLapsed, event.ParentChanged, event.RootChanged, event.ConfigFresh:
@@ -202,7 +202,7 @@
 		sleep(a.ctx, readRetryDelay)
 	}
 	a.readingConfig.Store(false)
-	a.input(system.LogRead{From: from, Batch: batch, Err: err, Asked: asked})
+	a.input(system.LogRead{From: from, Batch: batch, Err: err, StartedAt: asked})
 }
 
 // readDocument reads the next document from the source, waiting up to wait for one later than
@@ -215,9 +215,9 @@
 	}
 	a.readingConfig.Store(false)
 	if len(orders) > 0 {
-		a.input(system.Ordered{Orders: orders})
+		a.input(system.OrdersRead{Orders: orders})
 	}
-	a.input(system.DocumentRead{Document: doc, Err: err, Asked: asked})
+	a.input(system.DocumentRead{Document: doc, Err: err, StartedAt: asked})
 }
 
 func (a *Agent) appendLog(topic string, data []byte) {
@@ -263,7 +263,7 @@
 
 // findSeeds reads the addresses that daemons have published on the log.
 func (a *Agent) findSeeds() {
-	var newest store.Newest
+	var newest store.NewestRecords
 	err := a.callStore("find daemons", func(ctx context.Context) (err error) {
 		newest, err = a.log.Newest(ctx, store.MemberTopic)
 		return err
--- a/internal/agent/quarantine.go
+++ b/internal/agent/quarantine.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return system.QuarantineRead{Err: err}
 	}
-	return system.QuarantineRead{Records: q.decode(entries), Whole: whole}
+	return system.QuarantineRead{Records: q.decode(entries), Complete: whole}
 }
 
 // decode returns the records of entries. An entry without a value is a record that was deleted.
@@ -86,12 +86,12 @@
 		go a.readQuarantine()
 	}
 	for _, r := range out.Quarantined {
-		a.owner.Vouch(r)
+		a.owner.ClearIfAnswered(r)
 	}
-	for _, r := range out.KeepQuarantine {
+	for _, r := range out.StoreQuarantine {
 		go a.storeQuarantine(r)
 	}
-	for _, d := range out.DropQuarantine {
+	for _, d := range out.DeleteQuarantine {
 		go a.writeQuarantine(d, nil)
 	}
 }
@@ -102,7 +102,7 @@
 	for {
 		select {
 		case <-a.suspects.Changed():
-			a.input(system.Suspected{})
+			a.input(system.SuspectsChanged{})
 		case <-a.ctx.Done():
 			return
 		}
@@ -112,7 +112,7 @@
 // ClearSuspect clears a suspect, so that the request may run again: on this daemon at once, on
 // the others as soon as the change reaches them. It reports whether the request was a suspect.
 func (a *Agent) ClearSuspect(d suspect.Digest) bool {
-	cleared := a.suspects.Vouch(d)
+	cleared := a.suspects.ClearUnanswered(d)
 	if cleared {
 		a.logger.Info().Str("step", "clear suspect").Stringer("digest", d).Msg("suspect cleared by an operator; the request may run again")
 	}
--- a/internal/agent/rollout.go
+++ b/internal/agent/rollout.go
@@ -12,12 +12,12 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// Teller publishes the status of rollouts where operators order them.
-type Teller interface {
-	// Tell publishes the record that current returns as the status of the service's rollout,
+// StatusPublisher publishes the status of rollouts where operators order them.
+type StatusPublisher interface {
+	// Publish publishes the record that current returns as the status of the service's rollout,
 	// unless that status is published already. It calls current only once it is certain that
 	// the write cannot overwrite a status published after that call.
-	Tell(ctx context.Context, service string, current func(context.Context) (rollout.Record, error)) error
+	Publish(ctx context.Context, service string, current func(context.Context) (rollout.Record, error)) error
 }
 
 // rolloutRetryDelay is the delay after a failed read of the rollout records.
@@ -29,10 +29,10 @@
 	if out.ReadRollouts && a.readingRollouts.CompareAndSwap(false, true) {
 		go a.readRollouts()
 	}
-	for _, r := range out.AgreeRollouts {
+	for _, r := range out.CommitRollouts {
 		go a.proposeRollout(r)
 	}
-	for _, r := range out.TellRollouts {
+	for _, r := range out.PublishRollouts {
 		go a.publishRolloutStatus(r)
 	}
 }
@@ -122,7 +122,7 @@
 	if err := a.checkOrdersAllowed(); err != nil {
 		return err
 	}
-	if _, ok := a.Held().Content.Services[service]; !ok {
+	if _, ok := a.CurrentConfig().Content.Services[service]; !ok {
 		return &RefusedError{Reason: "there is no service " + service}
 	}
 	return a.updateRollout(service, func(last rollout.Record, end uint64) (rollout.Record, error) {
@@ -143,7 +143,7 @@
 		if last.ID == 0 || last.Phase.Final() {
 			return last, &RefusedError{Reason: "no rollout of " + service + " is in progress"}
 		}
-		return last.To(rollout.Reverted, "aborted by an operator"), nil
+		return last.WithPhase(rollout.Reverted, "aborted by an operator"), nil
 	})
 }
 
@@ -167,13 +167,13 @@
 		if a.rolloutStatus == nil {
 			return nil
 		}
-		return a.rolloutStatus.Tell(ctx, r.Service, func(ctx context.Context) (_ rollout.Record, err error) {
+		return a.rolloutStatus.Publish(ctx, r.Service, func(ctx context.Context) (_ rollout.Record, err error) {
 			r, err = a.storedRollout(ctx, r)
 			return r, err
 		})
 	})
 	if err == nil {
-		a.input(system.RolloutTold{Record: r})
+		a.input(system.RolloutPublished{Record: r})
 	}
 }
 
--- a/internal/agent/rollout_test.go
+++ b/internal/agent/rollout_test.go
@@ -103,7 +103,7 @@
 	}
 	a, err := agent.New(s, agent.Options{
 		Log: f.log, Logger: zerolog.Nop(), Dialect: callpath.DefaultDialect(),
-		Source: platform.NewSource(f.log, zerolog.Nop()), Teller: platform.NewStatuses(f.log),
+		Source: platform.NewSource(f.log, zerolog.Nop()), StatusPublisher: platform.NewStatuses(f.log),
 	})
 	if err != nil {
 		f.t.Fatal(err)
@@ -116,7 +116,7 @@
 	for i, a := range f.agents {
 		addr := f.versions[version].servers[i].Listener.Addr().(*net.TCPAddr).String()
 		a.Announce(agent.Announcement{
-			ID: version, Life: "1", Service: "tickets", Version: version, Addr: addr, Slots: 4, Connections: 50,
+			ID: version, Incarnation: "1", Service: "tickets", Version: version, Addr: addr, Slots: 4, Connections: 50,
 		})
 	}
 }
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -19,11 +19,11 @@
 	a.logger.Info().Str("step", "drain").Dur("end_ms", plan.closeAt).Msg("daemon is stopping gracefully")
 	a.stopping.Store(true)
 	a.ready.Store(false)
-	a.ingress.Leave()
-	cancelRuns := time.AfterFunc(plan.runsUntil, a.ingress.Finish)
+	a.ingress.CloseConnections()
+	cancelRuns := time.AfterFunc(plan.runsUntil, a.ingress.EndCalls)
 	defer cancelRuns.Stop()
 	sleep(ctx, plan.callersUntil)
-	a.ingress.Refuse()
+	a.ingress.RefuseNewCalls()
 	a.awaitCallers(ctx, began.Add(plan.peersUntil))
 	a.announceLeave(ctx)
 	a.await(ctx, began.Add(plan.runsUntil), a.idle)
@@ -86,7 +86,7 @@
 // use. Their calls are refused as not run with a time to retry after, which a closed listener
 // could not send. The upstreams here keep serving other daemons meanwhile.
 func (a *Agent) awaitCallers(ctx context.Context, until time.Time) {
-	a.await(ctx, until, func() bool { return a.ingress.Quiet() > callerIdlePeriod })
+	a.await(ctx, until, func() bool { return a.ingress.IdleTime() > callerIdlePeriod })
 }
 
 // announceLeave announces to the other daemons that this one is stopping, and admits no new
--- a/internal/agent/storm_test.go
+++ b/internal/agent/storm_test.go
@@ -24,7 +24,7 @@
 	before := f.log.Counts()
 	began := time.Now()
 	f.restart()
-	f.await("version in force", func(w *table.World) bool { return w.Self.Beat.Applied >= version })
+	f.await("version in force", func(w *table.World) bool { return w.Self.Heartbeat.Applied >= version })
 	inForce := time.Since(began)
 	f.awaitMembers()
 	known := time.Since(began)
--- a/internal/agent/suspects_test.go
+++ b/internal/agent/suspects_test.go
@@ -25,7 +25,7 @@
 		began := time.Now()
 		f.agents[7*round+3].Inspect(func(w *table.World) {
 			for d := range suspect.Digest(16) {
-				w.Suspects.Charge(first+d, 1)
+				w.Suspects.RecordCrash(first+d, 1)
 			}
 		})
 		last := (first + 15).String()
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -10,6 +10,6 @@
 // steady returns the time since the start of the process on the monotonic clock.
 func steady() time.Duration { return time.Since(processStart) }
 
-// Clock returns the boot time as a time.Time, for callers that compare or subtract two. It is
+// NowAsTime returns the boot time as a time.Time, for callers that compare or subtract two. It is
 // not a time of day.
-func Clock() time.Time { return time.Unix(0, int64(Now())) }
+func NowAsTime() time.Time { return time.Unix(0, int64(Now())) }
--- a/internal/callpath/answer.go
+++ b/internal/callpath/answer.go
@@ -11,7 +11,7 @@
 // writeAnswer writes the upstream's response to the caller.
 func writeAnswer(w http.ResponseWriter, r outcome.Result) {
 	h := w.Header()
-	for name, values := range stripped(r.Header) {
+	for name, values := range endToEndHeaders(r.Header) {
 		h[name] = values
 	}
 	h.Set(HeaderOutcome, string(outcome.Answered))
--- a/internal/callpath/answerbody.go
+++ b/internal/callpath/answerbody.go
@@ -10,19 +10,19 @@
 type answerBody struct {
 	io.ReadCloser
 	once sync.Once
-	// done is called once, when the body is closed.
-	done func()
-	// read is called once with the error that ends the reading, io.EOF included. It may
+	// onClose is called once, when the body is closed.
+	onClose func()
+	// onReadEnd is called once with the error that ends the reading, io.EOF included. It may
 	// be nil.
-	read func(error)
+	onReadEnd func(error)
 }
 
 // Read implements io.Reader.
 func (b *answerBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	if err != nil && b.read != nil {
-		b.read(err)
-		b.read = nil
+	if err != nil && b.onReadEnd != nil {
+		b.onReadEnd(err)
+		b.onReadEnd = nil
 	}
 	return n, err
 }
@@ -30,6 +30,6 @@
 // Close implements io.Closer.
 func (b *answerBody) Close() error {
 	err := b.ReadCloser.Close()
-	b.once.Do(b.done)
+	b.once.Do(b.onClose)
 	return err
 }
--- a/internal/callpath/attempt.go
+++ b/internal/callpath/attempt.go
@@ -92,16 +92,16 @@
 	// Objective is the time by which the response should arrive, or zero if the route has
 	// no objective.
 	Objective time.Time
-	// Usual is how long calls of the route usually take, as measured at the ingress.
-	Usual time.Duration
+	// TypicalLatency is how long calls of the route usually take, as measured at the ingress.
+	TypicalLatency time.Duration
 	// Nested is set if an upstream makes the call for a request that it is running, the
 	// parent request.
 	Nested bool
 	// ParentServed is the share of recent calls to the parent request's upstream that
 	// were served, in permille. It is set on nested calls only.
 	ParentServed int
-	// Lot is the request's Dialect.lot. It is set on nested calls only.
-	Lot float64
+	// WaitFraction is the request's Dialect.lot. It is set on nested calls only.
+	WaitFraction float64
 	// Repeated is set if an upstream may already have received the call or its parent
 	// request: the nested calls of a repeated run count as repeats at their upstreams
 	// too.
@@ -124,9 +124,9 @@
 	cachedDigest suspect.Digest
 }
 
-// life returns the part of the attempt ID that identifies the sender's incarnation. An ID
+// senderIncarnation returns the part of the attempt ID that identifies the sender's incarnation. An ID
 // is that part, a dash and a number.
-func (a *Attempt) life() string {
+func (a *Attempt) senderIncarnation() string {
 	return a.ID[:max(0, strings.LastIndexByte(a.ID, '-'))]
 }
 
--- a/internal/callpath/collect.go
+++ b/internal/callpath/buffer.go
@@ -33,7 +33,7 @@
 		r.Body = io.NopCloser(&buf)
 		return r, int(n)
 	}
-	out := outcome.Unsure(outcome.ReasonBroken, errors.Wrap(err, "read response from upstream"))
+	out := outcome.MayHaveRun(outcome.ReasonBroken, errors.Wrap(err, "read response from upstream"))
 	if ctx.Err() != nil {
 		out.Reason = outcome.CancelReason(ctx)
 	}
--- a/internal/callpath/gone.go
+++ b/internal/callpath/callerconn.go
@@ -14,10 +14,10 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// callerGone reports whether the sender of the request has closed its connection. The
+// callerDisconnected reports whether the sender of the request has closed its connection. The
 // server also notices that and cancels the context, but when CPU time is short only after
 // it has dispatched the requests that were waiting in the sockets meanwhile.
-func callerGone(ctx context.Context) bool {
+func callerDisconnected(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return true
 	}
--- a/internal/callpath/gone_test.go
+++ b/internal/callpath/callerconn_test.go
@@ -14,8 +14,8 @@
 	"github.com/comfreygate/comfreygate/internal/outcome"
 )
 
-// pair returns the two ends of a TCP connection.
-func pair(t *testing.T) (client, server net.Conn) {
+// connPair returns the two ends of a TCP connection.
+func connPair(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,7 +41,7 @@
 	is := is.New(t)
 	r := newRig(t, 1, 1, time.Millisecond)
 	w := r.workers[0]
-	client, server := pair(t)
+	client, server := connPair(t)
 	go func() { // reads ahead as an HTTP server does
 		var b [1]byte
 		_, _ = server.Read(b[:])
@@ -53,15 +53,15 @@
 			Method: http.MethodGet, URL: &url.URL{Path: "/normal"}, Header: http.Header{},
 		}
 	}
-	served := w.owner.carry(ctx, attempt("there"))
+	served := w.owner.execute(ctx, attempt("there"))
 	is.Equal(served.Outcome, outcome.Answered)
 	served.Body.Close() // releases the slot
-	disconnected, end := pair(t)
+	disconnected, end := connPair(t)
 	disconnected.Close()
 	for !closedByPeer(end) { // until the kernel has processed the close
 		time.Sleep(time.Millisecond)
 	}
-	refused := w.owner.carry(WithConn(context.Background(), end), attempt("gone"))
+	refused := w.owner.execute(WithConn(context.Background(), end), attempt("gone"))
 	is.Equal(refused.Outcome, outcome.NotRun)
 	is.Equal(refused.Reason, outcome.ReasonCancelled)
 	is.Equal(w.runs.Load(), int64(1))
--- a/internal/callpath/ended_test.go
+++ b/internal/callpath/crash_test.go
@@ -32,7 +32,7 @@
 		reasons <- res.Header.Get(HeaderReason)
 	}
 	waitForRunning := func(n int64) {
-		for w.now.Load() != n {
+		for w.inFlight.Load() != n {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -40,7 +40,7 @@
 	waitForRunning(1)
 	w.up.CloseClientConnections()
 	is.Equal(<-reasons, string(outcome.ReasonBroken))
-	is.Equal(r.metrics.Ends.Count(), int64(0))
+	is.Equal(r.metrics.UpstreamCrashes.Count(), int64(0))
 	waitForRunning(0)
 	const n = 4
 	for range n {
@@ -50,8 +50,8 @@
 	is.NoErr(w.up.Listener.Close())
 	w.up.CloseClientConnections()
 	for range n {
-		is.Equal(<-reasons, string(outcome.ReasonEnded))
+		is.Equal(<-reasons, string(outcome.ReasonCrashed))
 	}
-	is.Equal(r.metrics.Ends.Count(), int64(1))
-	is.Equal(r.metrics.Ended.Count(), int64(n))
+	is.Equal(r.metrics.UpstreamCrashes.Count(), int64(1))
+	is.Equal(r.metrics.CrashedAttempts.Count(), int64(n))
 }
--- a/internal/callpath/dialect.go
+++ b/internal/callpath/dialect.go
@@ -27,23 +27,23 @@
 	Workspace string
 	// Depth is the number of ingress daemons that a call has passed through.
 	Depth string
-	// Expected tells an upstream which process a request is meant for. Another process
+	// ExpectedInstance tells an upstream which process a request is meant for. Another process
 	// that has taken over the address responds with StatusMisdirectedRequest and does not
 	// run the request.
-	Expected string
+	ExpectedInstance string
 	// NotRun marks an upstream's response to a request that it has not run.
 	NotRun string
-	// Has returns the number of requests, running and waiting, that an upstream reports
+	// ReportedRequests returns the number of requests, running and waiting, that an upstream reports
 	// in a response; false: the response does not say. Nil: upstreams never report it.
-	Has func(http.Header) (int, bool)
-	// Echoed is set if upstreams repeat Request in their responses. A response with
+	ReportedRequests func(http.Header) (int, bool)
+	// EchoesRequestID is set if upstreams repeat Request in their responses. A response with
 	// another ID then belongs to another request.
-	Echoed bool
-	// Parent returns the ID of the parent request, for which an upstream made the request
+	EchoesRequestID bool
+	// ParentRequest returns the ID of the parent request, for which an upstream made the request
 	// with the given ID, or empty if the ID does not tell. Nil: no ID does.
-	Parent func(request string) string
-	// Fractions is set if callers accept fractions of a second in Retry-After.
-	Fractions bool
+	ParentRequest func(request string) string
+	// FractionalRetryAfter is set if callers accept fractions of a second in Retry-After.
+	FractionalRetryAfter bool
 }
 
 // DefaultDialect returns the product's own headers.
@@ -58,12 +58,12 @@
 	}
 }
 
-// lot returns a number from 0 to 1 that is derived from the ID of the root request: it is
+// waitFraction returns a number from 0 to 1 that is derived from the ID of the root request: it is
 // the same for all calls, at any depth, that are made for one caller's request, and
 // independent between requests.
-func (d Dialect) lot(request string) float64 {
-	if d.Parent != nil {
-		for parent := d.Parent(request); parent != ""; parent = d.Parent(request) {
+func (d Dialect) waitFraction(request string) float64 {
+	if d.ParentRequest != nil {
+		for parent := d.ParentRequest(request); parent != ""; parent = d.ParentRequest(request) {
 			request = parent
 		}
 	}
@@ -73,7 +73,7 @@
 // retryAfter returns the value of a Retry-After header. RFC 9110, section 10.2.3, allows
 // only whole seconds, so other values are rounded up unless callers accept fractions.
 func (d Dialect) retryAfter(after time.Duration) string {
-	if d.Fractions {
+	if d.FractionalRetryAfter {
 		return strconv.FormatFloat(after.Seconds(), 'f', 3, 64)
 	}
 	return strconv.FormatInt(int64((after+time.Second-1)/time.Second), 10)
@@ -93,17 +93,17 @@
 // returns the refusal.
 func (d Dialect) refusal(res *http.Response) (outcome.Result, bool) {
 	switch {
-	case d.Expected != "" && res.StatusCode == http.StatusMisdirectedRequest:
+	case d.ExpectedInstance != "" && res.StatusCode == http.StatusMisdirectedRequest:
 		return outcome.Refuse(outcome.ReasonMoved, 0), true
 	case d.NotRun != "" && res.Header.Get(d.NotRun) != "":
-		return outcome.Refuse(outcome.ReasonShed, readRetryAfter(res.Header)), true
+		return outcome.Refuse(outcome.ReasonUpstreamRefused, readRetryAfter(res.Header)), true
 	}
 	return outcome.Result{}, false
 }
 
 // foreign reports whether a response belongs to another request.
 func (d Dialect) foreign(req *http.Request, res *http.Response) bool {
-	if !d.Echoed {
+	if !d.EchoesRequestID {
 		return false
 	}
 	id := res.Header.Get(d.Request)
--- a/internal/callpath/fleet_ends_test.go
+++ b/internal/callpath/fleet_crash_test.go
@@ -85,10 +85,10 @@
 	if !to.suspects.Any() && !from.suspects.Any() {
 		return ""
 	}
-	if rec, ok := from.suspects.Record(c.attempt.digest()); ok && len(rec.Ends) > 0 {
+	if rec, ok := from.suspects.Record(c.attempt.digest()); ok && len(rec.Crashes) > 0 {
 		to.suspects.Merge(rec)
 	}
-	if endsUnder(to.suspects, &c.attempt) >= suspect.Enough {
+	if crashCount(to.suspects, &c.attempt) >= suspect.QuarantineThreshold {
 		return outcome.ReasonQuarantined
 	}
 	return ""
@@ -171,8 +171,8 @@
 // recently.
 func (vm *simVM) clearAnswered(changes []suspect.Change) {
 	for _, c := range changes {
-		if c.Before < suspect.Enough {
-			vm.owner.Vouch(c.Record)
+		if c.Before < suspect.QuarantineThreshold {
+			vm.owner.ClearIfAnswered(c.Record)
 		}
 	}
 }
@@ -229,7 +229,7 @@
 		t.runs += len(runs)
 		late := 0
 		for _, at := range runs {
-			if crashes := s.crashes.crashesByPath[path]; len(crashes) >= suspect.Enough && at.After(crashes[suspect.Enough-1].Add(propagationTime)) {
+			if crashes := s.crashes.crashesByPath[path]; len(crashes) >= suspect.QuarantineThreshold && at.After(crashes[suspect.QuarantineThreshold-1].Add(propagationTime)) {
 				late++
 			}
 		}
@@ -238,13 +238,13 @@
 	return t
 }
 
-// TestFleetStopsRequestsThatEndUpstreams simulates fleets with one or two poison requests
+// TestFleetQuarantinesPoisonRequests simulates fleets with one or two poison requests
 // that are sent 8 times per second, through any VM, and sent again by their callers. One
 // such request was seen to cause 24 crashes of 8 upstreams within 8 s. Poison requests
 // must cause few crashes, and none once all daemons may know of them. No other call may
 // be refused as quarantined, even if it ran beside a poison request several times or has
 // many copies running at once.
-func TestFleetStopsRequestsThatEndUpstreams(t *testing.T) {
+func TestFleetQuarantinesPoisonRequests(t *testing.T) {
 	const (
 		// maxLateRuns is how often a poison request may run once all daemons could know
 		// of it.
@@ -269,7 +269,7 @@
 					if tc.requests > 1 {
 						lateLimit, refusedLimit = maxLateRuns, int(maxRefusedShare*float64(s.crashes.requests))
 					}
-					if got.crashes < suspect.Enough || got.crashes > 2*tc.requests*suspect.Enough || got.lateRuns > lateLimit || got.wronglyRefused > refusedLimit {
+					if got.crashes < suspect.QuarantineThreshold || got.crashes > 2*tc.requests*suspect.QuarantineThreshold || got.lateRuns > lateLimit || got.wronglyRefused > refusedLimit {
 						t.Errorf("%+v", got)
 					}
 					sum.add(got)
--- a/internal/callpath/fleet_sim_test.go
+++ b/internal/callpath/fleet_sim_test.go
@@ -316,18 +316,18 @@
 		Body: make([]byte, 0), Method: http.MethodGet, URL: &url.URL{Path: path}, Caller: vm.service,
 	}}
 	if parent != nil {
-		c.attempt.Nested, c.attempt.Urgency, c.attempt.ParentServed = true, parent.urgency, int(permille*parent.vm.gate.Served())
-		c.attempt.Lot, c.attempt.Repeated = parent.rootHash, parent.repeated
+		c.attempt.Nested, c.attempt.Urgency, c.attempt.ParentServed = true, parent.urgency, int(permille*parent.vm.gate.ServedFraction())
+		c.attempt.WaitFraction, c.attempt.Repeated = parent.rootHash, parent.repeated
 	}
-	for _, b := range []*budget{in.budget, in.refusals, in.failures} {
+	for _, b := range []*budget{in.retryBudget, in.refusalBudget, in.failureBudget} {
 		b.earn(c.service.Name)
 	}
 	if c.attempt.Repeated {
-		in.budget.charge(c.service.Name)
+		in.retryBudget.charge(c.service.Name)
 	} else {
 		s.callsTo[c.service.Name]++
 	}
-	s.attempt(vm, k, c, &tries{}, done)
+	s.attempt(vm, k, c, &callAttempts{}, done)
 }
 
 // messageDelay is the one-way delay of a message within a VM, within a failure domain, or
@@ -342,7 +342,7 @@
 	return 700 * time.Microsecond
 }
 
-func (s *fleetSim) attempt(vm *simVM, k *simKind, c *call, t *tries, done func(outcome.Result)) {
+func (s *fleetSim) attempt(vm *simVM, k *simKind, c *call, t *callAttempts, done func(outcome.Result)) {
 	in := vm.ingress
 	if !s.now.Before(c.attempt.Deadline) {
 		done(in.outOfTime(*t))
@@ -385,7 +385,7 @@
 
 // arrive handles an attempt that reaches the daemon of its upstream.
 func (s *fleetSim) arrive(vm, to *simVM, k *simKind, c *call, reply func(outcome.Result)) {
-	ask := askOf(&c.attempt)
+	ask := admissionRequest(&c.attempt)
 	refuse := func(reason outcome.Reason, after time.Duration) {
 		r := outcome.Refuse(reason, after)
 		r.Load, r.HasLoad = to.gate.Load(), true
@@ -410,7 +410,7 @@
 			s.runAttempt(to, k, c, ask, reply)
 		}})
 		s.after(ask.Deadline.Sub(s.now)-admission.AnswerMargin, func() {
-			to.gate.Quit(w, outcome.ReasonDeadline)
+			to.gate.Withdraw(w, outcome.ReasonDeadline)
 			s.deliverDecisions(to)
 		})
 	}
@@ -444,7 +444,7 @@
 }
 
 // runAttempt runs an admitted attempt at an upstream.
-func (s *fleetSim) runAttempt(vm *simVM, k *simKind, c *call, a admission.Ask, reply func(outcome.Result)) {
+func (s *fleetSim) runAttempt(vm *simVM, k *simKind, c *call, a admission.Request, reply func(outcome.Result)) {
 	if c.attempt.Repeated {
 		s.repeatsAt[vm.service]++
 	}
@@ -456,7 +456,7 @@
 	}
 	if s.rng.Float64() < s.refusalRate[vm.service] {
 		vm.gate.Release(0)
-		reply(outcome.Refuse(outcome.ReasonShed, 0))
+		reply(outcome.Refuse(outcome.ReasonUpstreamRefused, 0))
 		s.deliverDecisions(vm)
 		return
 	}
@@ -469,7 +469,7 @@
 	finish, refusal := s.startRun(vm, k, c, func() {
 		finished = true
 		vm.gate.Release(s.now.Sub(began))
-		reply(outcome.Unsure(outcome.ReasonEnded, nil))
+		reply(outcome.MayHaveRun(outcome.ReasonCrashed, nil))
 	})
 	if refusal != "" {
 		vm.gate.Release(0)
--- a/internal/callpath/health.go
+++ b/internal/callpath/health.go
@@ -8,9 +8,9 @@
 	"github.com/comfreygate/comfreygate/internal/view"
 )
 
-// avoidOwner stops using an owner that could not be reached, and probes it in the
+// markOwnerDown stops using an owner that could not be reached, and probes it in the
 // background until it answers again.
-func (in *Ingress) avoidOwner(u view.Upstream) {
+func (in *Ingress) markOwnerDown(u view.Upstream) {
 	if !in.picker.SetDown(u.Owner, true) {
 		return
 	}
@@ -33,10 +33,10 @@
 	wait := ownerProbeMinInterval
 	for {
 		jittered := wait/2 + rand.N(wait)
-		if !pause(in.stop, jittered) {
+		if !pause(in.backgroundCtx, jittered) {
 			return
 		}
-		_, err := in.remote.ask(in.stop, pathAttempt, u, &Attempt{ID: "ping"})
+		_, err := in.remote.inquire(in.backgroundCtx, pathAttempt, u, &Attempt{ID: "ping"})
 		if err == nil || !in.inView(u) {
 			in.picker.SetDown(u.Owner, false)
 			msg := "owner answers again: calls are sent to it"
--- a/internal/callpath/ingress.go
+++ b/internal/callpath/ingress.go
@@ -48,10 +48,10 @@
 	// RetryRatio is the number of retries allowed per call, over all daemons. RetryBurst
 	// is the maximum number of unused retries to a service that this daemon accumulates.
 	RetryRatio float64
-	// Revoke is the maximum age of a configuration at which calls are still admitted by
+	// MaxConfigAge is the maximum age of a configuration at which calls are still admitted by
 	// workspace key. Zero: any age.
-	Revoke     time.Duration
-	RetryBurst float64
+	MaxConfigAge time.Duration
+	RetryBurst   float64
 	// CrossDomainCost is the cost of sending a megabyte between failure domains, as a
 	// multiple of the value of a call.
 	CrossDomainCost float64
@@ -74,14 +74,14 @@
 	owner  *Owner
 	remote *remote
 	picker *pick.Picker
-	// budget limits the retries that may reach upstreams, refusals those after an owner
+	// retryBudget limits the retries that may reach upstreams, refusals those after an owner
 	// refused an attempt because its upstream was full.
-	budget   *budget
-	refusals *budget
-	// failures limits the retries after an upstream's own failure. They are charged to
+	retryBudget   *budget
+	refusalBudget *budget
+	// failureBudget limits the retries after an upstream's own failure. They are charged to
 	// budget as well.
-	failures *budget
-	view     atomic.Pointer[view.View]
+	failureBudget *budget
+	view          atomic.Pointer[view.View]
 	// confirmedAt is the freshness.Stamp of the configuration in force: the last time at
 	// which it was certainly the newest.
 	confirmedAt atomic.Int64
@@ -105,8 +105,8 @@
 	// refusalLogLimit and retryLogLimit limit the rate of log lines about calls.
 	refusalLogLimit lineLimit
 	retryLogLimit   lineLimit
-	// stop is cancelled by Close and ends the background work.
-	stop             context.Context
+	// backgroundCtx is cancelled by Close and ends the background work.
+	backgroundCtx    context.Context
 	cancelBackground context.CancelFunc
 }
 
@@ -120,15 +120,15 @@
 		cfg: cfg, owner: owner,
 		remote:        newRemote(&net.Dialer{Timeout: cfg.ConnectTimeout, LocalAddr: cfg.Source}, cfg.InquireAfter, cfg.Events, cfg.Metrics),
 		picker:        pick.New(cfg.Domain, cfg.CrossDomainCost/bytesPerMB, cfg.Now, cfg.Seed),
-		budget:        newBudget(retryBudgetShare*cfg.RetryRatio, cfg.RetryBurst),
-		refusals:      newBudget(refusalRatio, refusalBurst),
-		failures:      newBudget(failureRetryShare*cfg.RetryRatio, failureRetryBurst),
+		retryBudget:   newBudget(retryBudgetShare*cfg.RetryRatio, cfg.RetryBurst),
+		refusalBudget: newBudget(refusalRatio, refusalBurst),
+		failureBudget: newBudget(failureRetryShare*cfg.RetryRatio, failureRetryBurst),
 		incarnationID: uuid.NewString(),
 	}
-	in.remote.onOwnerUnreachable = in.avoidOwner
+	in.remote.onOwnerUnreachable = in.markOwnerDown
 	in.remote.suspects = cfg.Suspects
 	in.view.Store(&view.View{})
-	in.stop, in.cancelBackground = context.WithCancel(context.Background())
+	in.backgroundCtx, in.cancelBackground = context.WithCancel(context.Background())
 	in.callsCtx, in.cancelCalls = context.WithCancel(context.Background())
 	in.remote.callsCtx = in.callsCtx
 	return in
@@ -143,12 +143,12 @@
 // Update applies a view to the calls that arrive from now on.
 func (in *Ingress) Update(v *view.View) {
 	in.view.Store(v)
-	in.cfg.Limits.Update(in.stop, v)
+	in.cfg.Limits.Update(in.backgroundCtx, v)
 }
 
-// Vouch records the freshness of the configuration: the last time at which that of the
+// SetFreshAt records the freshness of the configuration: the last time at which that of the
 // current view, or of one before it, was certainly the newest.
-func (in *Ingress) Vouch(s freshness.Stamp) { in.confirmedAt.Store(int64(s)) }
+func (in *Ingress) SetFreshAt(s freshness.Timestamp) { in.confirmedAt.Store(int64(s)) }
 
 // Stale reports whether calls that need a workspace key are being refused because the
 // configuration is too old.
@@ -161,22 +161,22 @@
 // admit calls by workspace key. Freshness is read before the view: a view stored in
 // between can only be newer.
 func (in *Ingress) currentView() (fresh bool, v *view.View) {
-	fresh = freshness.Stamp(in.confirmedAt.Load()).Fresh(boottime.Now(), in.cfg.Revoke)
+	fresh = freshness.Timestamp(in.confirmedAt.Load()).Fresh(boottime.Now(), in.cfg.MaxConfigAge)
 	return fresh, in.view.Load()
 }
 
-// Leave makes responses close their connections, so that callers open their next ones to
+// CloseConnections makes responses close their connections, so that callers open their next ones to
 // other daemons.
-func (in *Ingress) Leave() { in.leaving.Store(true) }
+func (in *Ingress) CloseConnections() { in.leaving.Store(true) }
 
-// Refuse makes the ingress refuse every new call as not run, because the process will
+// RefuseNewCalls makes the ingress refuse every new call as not run, because the process will
 // exit before it can be sure to answer one. Nested calls are still served: without them
 // the requests that are running at upstreams on this VM would fail.
-func (in *Ingress) Refuse() { in.refusing.Store(true) }
+func (in *Ingress) RefuseNewCalls() { in.refusing.Store(true) }
 
-// Finish ends the calls in flight. Those that are still waiting are refused as not run;
+// EndCalls ends the calls in flight. Those that are still waiting are refused as not run;
 // the outcome of the others is unknown.
-func (in *Ingress) Finish() { in.cancelCalls() }
+func (in *Ingress) EndCalls() { in.cancelCalls() }
 
 // errStopping is the cancellation cause of calls that Finish ends.
 var errStopping = errors.New("daemon is stopping")
@@ -185,8 +185,8 @@
 // ingress.
 func (in *Ingress) Loads() map[string]outcome.Load { return in.picker.Loads() }
 
-// Quiet returns how long no call other than nested ones has arrived or been in flight.
-func (in *Ingress) Quiet() time.Duration {
+// IdleTime returns how long no call other than nested ones has arrived or been in flight.
+func (in *Ingress) IdleTime() time.Duration {
 	if in.directInFlight.Load() > 0 {
 		return 0
 	}
@@ -274,13 +274,13 @@
 // call must not be repeated, or the retry policy, the retry budget or the time is
 // exhausted.
 func (in *Ingress) run(ctx context.Context, c *call) outcome.Result {
-	in.budget.earn(c.service.Name)
-	in.refusals.earn(c.service.Name)
-	in.failures.earn(c.service.Name)
+	in.retryBudget.earn(c.service.Name)
+	in.refusalBudget.earn(c.service.Name)
+	in.failureBudget.earn(c.service.Name)
 	if c.attempt.Repeated {
-		in.budget.charge(c.service.Name)
+		in.retryBudget.charge(c.service.Name)
 	}
-	var t tries
+	var t callAttempts
 	for {
 		if !in.cfg.Now().Before(c.attempt.Deadline) {
 			return in.outOfTime(t)
@@ -308,7 +308,7 @@
 }
 
 // outOfTime returns the result of a call whose deadline passed between two attempts.
-func (in *Ingress) outOfTime(t tries) outcome.Result {
+func (in *Ingress) outOfTime(t callAttempts) outcome.Result {
 	if len(t.upstreams) > 0 && t.best().Outcome != outcome.NotRun {
 		return t.best()
 	}
@@ -321,8 +321,8 @@
 func (in *Ingress) next(c *call, tried []string) (view.Upstream, outcome.Result, bool) {
 	if c.attempt.Key == "" {
 		n := in.need(c, tried)
-		if endsUnder(in.cfg.Suspects, &c.attempt) > 0 {
-			n.Home = c.attempt.digest().String()
+		if crashCount(in.cfg.Suspects, &c.attempt) > 0 {
+			n.AffinityKey = c.attempt.digest().String()
 		}
 		return in.pick(c, n)
 	}
@@ -330,9 +330,9 @@
 		// The owner of another upstream would not know of the copies sent to the first.
 		return view.Upstream{}, outcome.Refuse(outcome.ReasonOverload, outcome.MinRetryAfter), false
 	}
-	home := pick.Home(c.service.Upstreams, c.attempt.Caller+"\x00"+c.attempt.Key)
+	home := pick.Rendezvous(c.service.Upstreams, c.attempt.Caller+"\x00"+c.attempt.Key)
 	if home == nil {
-		return view.Upstream{}, outcome.Refuse(outcome.ReasonNoUpstream, pick.UnknownAfter), false
+		return view.Upstream{}, outcome.Refuse(outcome.ReasonNoUpstream, pick.DefaultRetryAfter), false
 	}
 	only := &view.Service{Service: c.service.Service, Upstreams: []view.Upstream{*home}}
 	return in.picker.Pick(only, in.need(c, nil))
@@ -341,7 +341,7 @@
 // pick selects an upstream from the part of the service that this call goes to during a
 // rollout. Only a first attempt may go to the new version, so that a call fails because
 // of it at most once.
-func (in *Ingress) pick(c *call, n pick.Need) (view.Upstream, outcome.Result, bool) {
+func (in *Ingress) pick(c *call, n pick.Criteria) (view.Upstream, outcome.Result, bool) {
 	split := c.service.Split
 	if split == nil {
 		return in.picker.Pick(c.service, n)
@@ -365,7 +365,7 @@
 // rolled out.
 func (in *Ingress) recordForRollout(c *call, u view.Upstream, r outcome.Result) {
 	if split := c.service.Split; split != nil && r.Ran() {
-		split.Note(in.cfg.Now(), view.Ran{
+		split.Note(in.cfg.Now(), view.CallResult{
 			Route: c.route.Name, Upstream: u, Failed: r.Outcome != outcome.Answered || upstreamFailed(r), Took: r.Took,
 		})
 	}
@@ -380,14 +380,14 @@
 
 // need returns what the attempt requires of an upstream, estimated from recent calls of
 // its route. It also sets the attempt's Usual.
-func (in *Ingress) need(c *call, tried []string) pick.Need {
+func (in *Ingress) need(c *call, tried []string) pick.Criteria {
 	objective := c.route.Policy.Objective
 	if objective == 0 {
 		objective = c.route.Policy.Timeout / defaultObjectiveDivisor
 	}
-	n := pick.Need{Urgency: c.attempt.Urgency, Objective: objective, Body: len(c.attempt.Body), Tried: tried}
+	n := pick.Criteria{Urgency: c.attempt.Urgency, Objective: objective, Body: len(c.attempt.Body), Tried: tried}
 	n.Bytes, n.Took = in.picker.Expect(c.route.Name, len(c.attempt.Body), objective)
-	c.attempt.Usual = n.Took
+	c.attempt.TypicalLatency = n.Took
 	return n
 }
 
@@ -401,7 +401,7 @@
 	var r outcome.Result
 	if u.Local {
 		ctx = c.localCtx
-		r = in.owner.carry(ctx, &a)
+		r = in.owner.execute(ctx, &a)
 	} else {
 		r = in.remote.send(ctx, u, &a)
 	}
@@ -415,12 +415,12 @@
 	in.recordForRollout(c, u, r)
 	in.picker.Observe(u, a.Urgency, r)
 	if r.Outcome == outcome.Answered {
-		r.Body = &answerBody{ReadCloser: r.Body, done: func() { in.picker.Finished(u) }}
+		r.Body = &answerBody{ReadCloser: r.Body, onClose: func() { in.picker.Finished(u) }}
 	} else {
 		in.picker.Finished(u)
 	}
 	if r.OwnerDown {
-		in.avoidOwner(u)
+		in.markOwnerDown(u)
 	}
 	if r.Err != nil {
 		in.cfg.Logger.Debug().Str("step", "attempt").Str("peer", u.Daemon).Str("request", a.Request).
--- a/internal/callpath/intake_test.go
+++ b/internal/callpath/intake_test.go
@@ -137,7 +137,7 @@
 		} else {
 			is.Equal(res.StatusCode, http.StatusServiceUnavailable)
 			is.True(sent.Load() < 1000) // only the headers
-			is.True(c.spoiled)          // the connection cannot be reused: its server still expects the body
+			is.True(c.notReusable)      // the connection cannot be reused: its server still expects the body
 		}
 		c.Close()
 		srv.Close()
--- a/internal/callpath/limits_test.go
+++ b/internal/callpath/limits_test.go
@@ -23,9 +23,9 @@
 }
 
 // setCoordinator makes a daemon the limit coordinator of its failure domain.
-func (k *keyRig) setCoordinator(coordinator view.Keeper) {
+func (k *keyRig) setCoordinator(coordinator view.LimitCoordinator) {
 	v := *k.ingress.view.Load()
-	v.Keepers = map[string]view.Keeper{"d": coordinator}
+	v.LimitCoordinators = map[string]view.LimitCoordinator{"d": coordinator}
 	v.Daemons = 2
 	k.ingress.Update(&v)
 }
@@ -46,7 +46,7 @@
 	k.t.Helper()
 	for range 200 {
 		time.Sleep(5 * time.Millisecond)
-		if k.ingress.cfg.Limits.HasWord() {
+		if k.ingress.cfg.Limits.HasReply() {
 			return
 		}
 	}
@@ -60,7 +60,7 @@
 	is := is.New(t)
 	k := newKeyRig(t)
 	k.setWorkspaces(map[string]config.Workspace{"a": {Rate: 10, Burst: 10}, "b": {}})
-	k.setCoordinator(view.Keeper{Daemon: "vm", Local: true})
+	k.setCoordinator(view.LimitCoordinator{Daemon: "vm", Local: true})
 	k.awaitCoordinator()
 	began := time.Now()
 	counts := k.sendMany(200, "a")
@@ -89,7 +89,7 @@
 	is := is.New(t)
 	k := newKeyRig(t)
 	k.setWorkspaces(map[string]config.Workspace{"a": {Rate: 1, Burst: 30}})
-	k.setCoordinator(view.Keeper{Daemon: "vm", Local: true})
+	k.setCoordinator(view.LimitCoordinator{Daemon: "vm", Local: true})
 	k.awaitCoordinator()
 	time.Sleep(1200 * time.Millisecond) // the coordinator's token bucket gains one call per second
 	v := *k.ingress.view.Load()
@@ -109,11 +109,11 @@
 	is := is.New(t)
 	k := newKeyRig(t)
 	k.setWorkspaces(map[string]config.Workspace{"a": {Rate: 4, Burst: 4}})
-	k.setCoordinator(view.Keeper{Daemon: "other", Owner: "127.0.0.1:1"})
+	k.setCoordinator(view.LimitCoordinator{Daemon: "other", Owner: "127.0.0.1:1"})
 	counts := k.sendMany(50, "a")
 	is.True(counts[http.StatusOK] <= 3)
 	is.True(counts[http.StatusTooManyRequests] >= 47)
-	is.True(!k.ingress.cfg.Limits.HasWord())
+	is.True(!k.ingress.cfg.Limits.HasReply())
 }
 
 // TestCallerPathsCannotReachDaemonEndpoints sends calls with the paths of endpoints
@@ -129,7 +129,7 @@
 	anywhere.Path = "/"
 	v.Routes = view.NewRoutes(&anywhere)
 	k.ingress.Update(&v)
-	for _, path := range []string{pathVoid, pathAttempt, limits.PathReport, limits.PathLoans} {
+	for _, path := range []string{pathVoid, pathAttempt, limits.PathReport, limits.PathLeases} {
 		status, got := k.send(path, http.Header{headerAttempt: nil})
 		is.Equal(status, http.StatusOK) // from the upstream
 		is.True(got != nil)
--- a/internal/callpath/log.go
+++ b/internal/callpath/log.go
@@ -67,7 +67,7 @@
 	if c.attempt.Workspace != "" {
 		e = e.Str("workspace", c.attempt.Workspace)
 	}
-	if limit, ok := limits.Of(in.view.Load(), c.attempt.Workspace); ok && r.Reason == outcome.ReasonOverLimit {
+	if limit, ok := limits.LimitOf(in.view.Load(), c.attempt.Workspace); ok && r.Reason == outcome.ReasonOverLimit {
 		e = e.Float64("limit_rate", limit.Rate).Float64("limit_burst", limit.Burst)
 	}
 	if c.service != nil {
@@ -105,7 +105,7 @@
 	if since := in.view.Load().Since; !since.IsZero() {
 		e = e.Int64("in_force_ms", in.cfg.Now().Sub(since).Milliseconds())
 	}
-	if stamp := freshness.Stamp(in.confirmedAt.Load()); stamp > 0 {
+	if stamp := freshness.Timestamp(in.confirmedAt.Load()); stamp > 0 {
 		e = e.Int64("checked_ms", stamp.Age(boottime.Now()).Milliseconds())
 	}
 	return e
--- a/internal/callpath/log_test.go
+++ b/internal/callpath/log_test.go
@@ -47,7 +47,7 @@
 	v := *r.ingress.view.Load()
 	v.Since = time.Now().Add(-3 * time.Second)
 	r.ingress.Update(&v)
-	r.ingress.Vouch(freshness.Stamp(boottime.Now() - 2*time.Second))
+	r.ingress.SetFreshAt(freshness.Timestamp(boottime.Now() - 2*time.Second))
 
 	req, err := http.NewRequest(http.MethodGet, r.srv.URL+"/added/"+strings.Repeat("x", 2*maxLoggedBytes)+"?secret=1", nil)
 	is.NoErr(err)
--- a/internal/callpath/metrics.go
+++ b/internal/callpath/metrics.go
@@ -17,9 +17,9 @@
 	// Retries counts further attempts, RetryDenied those that a retry budget did not
 	// allow, and FoundRoom the attempts accepted after another owner had refused the call
 	// as full.
-	Retries     metrics.Counter
-	RetryDenied metrics.Counter
-	FoundRoom   metrics.Counter
+	Retries          metrics.Counter
+	RetryDenied      metrics.Counter
+	RetriesFoundRoom metrics.Counter
 	// Voided counts attempts that were voided after their connection broke.
 	Voided metrics.Counter
 	// Silent counts connections that were given up because they delivered nothing.
@@ -28,10 +28,10 @@
 	// owner refused.
 	Started metrics.Counter
 	Refused metrics.Counter
-	// Ended counts attempts whose upstream crashed while running them, Ends the crashes
+	// CrashedAttempts counts attempts whose upstream crashed while running them, Ends the crashes
 	// of upstreams.
-	Ended metrics.Counter
-	Ends  metrics.Counter
+	CrashedAttempts metrics.Counter
+	UpstreamCrashes metrics.Counter
 	// Quarantined counts calls refused because upstreams have crashed while running the
 	// request.
 	Quarantined metrics.Counter
@@ -53,11 +53,11 @@
 	return &Metrics{
 		Calls: counter("received"), Answered: counter("answered"), NotRun: counter("not_run"),
 		Unknown: counter("unknown"), Retries: counter("retries"), RetryDenied: counter("retries_denied"),
-		FoundRoom: counter("retries_found_room"),
-		Voided:    counter("voided"), Silent: counter("silent"), Started: counter("attempts_started"),
-		Refused: counter("attempts_refused"), Ended: counter("upstream_ended"),
+		RetriesFoundRoom: counter("retries_found_room"),
+		Voided:           counter("voided"), Silent: counter("silent"), Started: counter("attempts_started"),
+		Refused: counter("attempts_refused"), CrashedAttempts: counter("upstream_ended"),
 		OverLimit: counter("over_limit"), UnknownKey: counter("unknown_key"), Stale: counter("configuration_stale"),
-		Quarantined: counter("quarantined"), Ends: metrics.GetOrRegisterCounter("upstreams.ended", r), Latency: metrics.GetOrRegisterTimer("calls.latency", r),
+		Quarantined: counter("quarantined"), UpstreamCrashes: metrics.GetOrRegisterCounter("upstreams.ended", r), Latency: metrics.GetOrRegisterTimer("calls.latency", r),
 	}
 }
 
--- a/internal/callpath/running.go
+++ b/internal/callpath/nested.go
@@ -46,15 +46,15 @@
 	return p, ok
 }
 
-// nest marks a call as nested if an upstream of this VM makes it for a request that it is
+// inheritFromParent marks a call as nested if an upstream of this VM makes it for a request that it is
 // running, and lets the call inherit that request's urgency, flow and repeat mark. With
 // the urgency of its own route, a nested call of a less urgent request could be served
 // before one of a more urgent request.
-func (in *Ingress) nest(a *Attempt) {
-	if in.cfg.Dialect.Parent == nil || in.owner == nil {
+func (in *Ingress) inheritFromParent(a *Attempt) {
+	if in.cfg.Dialect.ParentRequest == nil || in.owner == nil {
 		return
 	}
-	id := in.cfg.Dialect.Parent(a.Request)
+	id := in.cfg.Dialect.ParentRequest(a.Request)
 	if id == "" {
 		return
 	}
@@ -63,7 +63,7 @@
 		a.Urgency = p.urgency
 		a.Flow = p.flow
 		a.Repeated = p.repeated
-		a.ParentServed = int(permille * p.gate.Served())
-		a.Lot = in.cfg.Dialect.lot(a.Request)
+		a.ParentServed = int(permille * p.gate.ServedFraction())
+		a.WaitFraction = in.cfg.Dialect.waitFraction(a.Request)
 	}
 }
--- a/internal/callpath/running_test.go
+++ b/internal/callpath/nested_test.go
@@ -16,7 +16,7 @@
 func TestNestedCallsInheritParentUrgency(t *testing.T) {
 	is := is.New(t)
 	owner := &Owner{running: newRunningRequests()}
-	in := &Ingress{owner: owner, cfg: IngressConfig{Dialect: Dialect{Parent: func(id string) string {
+	in := &Ingress{owner: owner, cfg: IngressConfig{Dialect: Dialect{ParentRequest: func(id string) string {
 		if id == "parent.child" {
 			return "parent"
 		}
@@ -24,21 +24,21 @@
 	}}}}
 	parent := &Attempt{Request: "parent", Urgency: config.Critical}
 	child := &Attempt{Request: "parent.child", Urgency: config.Background}
-	in.nest(child)
+	in.inheritFromParent(child)
 	is.True(!child.Nested) // no such request runs here: callers choose IDs freely
 	owner.running.begin(parent, admission.New(time.Now, 1, 1, time.Time{}))
-	in.nest(child)
+	in.inheritFromParent(child)
 	is.True(child.Nested)
 	is.Equal(child.Urgency, config.Critical)
 	is.Equal(child.ParentServed, permille)
 	urgent := &Attempt{Request: "parent.child", Urgency: config.MostUrgent}
-	in.nest(urgent)
+	in.inheritFromParent(urgent)
 	is.Equal(urgent.Urgency, config.Critical) // not more urgent than its parent
 	other := &Attempt{Request: "other", Urgency: config.Critical}
-	in.nest(other)
+	in.inheritFromParent(other)
 	is.True(!other.Nested)
 	owner.running.end(parent)
 	late := &Attempt{Request: "parent.child", Urgency: config.Background}
-	in.nest(late)
+	in.inheritFromParent(late)
 	is.True(!late.Nested)
 }
--- a/internal/callpath/overload_test.go
+++ b/internal/callpath/overload_test.go
@@ -36,9 +36,9 @@
 	fail  atomic.Bool
 	// runs counts the requests and now those running at the moment; peak is the maximum
 	// of now.
-	runs atomic.Int64
-	peak atomic.Int64
-	now  atomic.Int64
+	runs     atomic.Int64
+	peak     atomic.Int64
+	inFlight atomic.Int64
 	// startedAt is when the upstream announced itself, as told to its owner.
 	startedAt time.Time
 	slots     int
@@ -104,8 +104,8 @@
 
 func (w *worker) serve(rw http.ResponseWriter, r *http.Request) {
 	w.runs.Add(1)
-	n := w.now.Add(1)
-	defer w.now.Add(-1)
+	n := w.inFlight.Add(1)
+	defer w.inFlight.Add(-1)
 	for most := w.peak.Load(); n > most && !w.peak.CompareAndSwap(most, n); most = w.peak.Load() {
 	}
 	if w.fail.Load() {
@@ -133,7 +133,7 @@
 		w.owner.Update(&view.View{
 			Services: map[string]*view.Service{"s": s},
 			Locals: []table.Local{{
-				Upstream: wire.Upstream{ID: w.id, Service: "s", Slots: w.slots, Since: w.startedAt.UnixMilli()},
+				Upstream: wire.Upstream{ID: w.id, Service: "s", Slots: w.slots, AnnouncedAtMs: w.startedAt.UnixMilli()},
 				Addr:     addr, Conns: 10 * w.slots,
 			}},
 		})
@@ -153,10 +153,10 @@
 
 // sample is the result of one call.
 type sample struct {
-	urgency config.Urgency
-	outcome string
-	after   string
-	took    time.Duration
+	urgency    config.Urgency
+	outcome    string
+	retryAfter string
+	took       time.Duration
 }
 
 // offer sends calls at a fixed rate for a duration, regardless of responses (open loop),
@@ -197,7 +197,7 @@
 	defer res.Body.Close()
 	_, _ = io.Copy(io.Discard, res.Body)
 	return sample{
-		urgency: u, outcome: res.Header.Get(HeaderOutcome), after: res.Header.Get(HeaderRetryAfter), took: time.Since(began),
+		urgency: u, outcome: res.Header.Get(HeaderOutcome), retryAfter: res.Header.Get(HeaderRetryAfter), took: time.Since(began),
 	}
 }
 
@@ -234,7 +234,7 @@
 	r := newRig(t, 3, 4, service)
 	capacity := float64(3*4) / service.Seconds()
 	for _, factor := range []float64{3, 10} {
-		calls, retries, found := r.metrics.Calls.Count(), r.metrics.Retries.Count(), r.metrics.FoundRoom.Count()
+		calls, retries, found := r.metrics.Calls.Count(), r.metrics.Retries.Count(), r.metrics.RetriesFoundRoom.Count()
 		const d = 4 * time.Second
 		samples := r.offer(factor*capacity, d, config.Background, config.Background, config.Normal, config.Background,
 			config.Background, config.Background, config.Normal, config.Background, config.Background, config.Critical)
@@ -245,14 +245,14 @@
 				answered++
 			case s.outcome != string(outcome.NotRun):
 				t.Errorf("outcome %q, want answered or not-run", s.outcome)
-			case s.after == "":
+			case s.retryAfter == "":
 				t.Error("refusal without a retry-after")
 			case s.took > 100*time.Millisecond:
 				slowRefusals++
 			}
 		}
 		goodput := float64(answered) / d.Seconds() / capacity
-		found = r.metrics.FoundRoom.Count() - found
+		found = r.metrics.RetriesFoundRoom.Count() - found
 		calls, retries = r.metrics.Calls.Count()-calls, r.metrics.Retries.Count()-retries
 		critical, critP99 := answeredShare(samples, config.Critical)
 		normal, _ := answeredShare(samples, config.Normal)
--- a/internal/callpath/owner.go
+++ b/internal/callpath/owner.go
@@ -35,14 +35,14 @@
 	// Suspects is the daemon's table of suspects, shared with the ingress. If nil, the
 	// owner creates its own.
 	Suspects *suspect.Table
-	// Keeper is the limit coordinator's handler: it answers requests of other daemons
+	// LimitCoordinator is the limit coordinator's handler: it answers requests of other daemons
 	// about workspace limits. Nil if this daemon is not a limit coordinator.
-	Keeper  http.Handler
-	Dialect Dialect
-	Logger  zerolog.Logger
-	Events  *event.Ring
-	Metrics *Metrics
-	Now     func() time.Time
+	LimitCoordinator http.Handler
+	Dialect          Dialect
+	Logger           zerolog.Logger
+	Events           *event.Ring
+	Metrics          *Metrics
+	Now              func() time.Time
 }
 
 // Owner runs attempts at the upstreams on its VM. It is safe for concurrent use.
@@ -68,8 +68,8 @@
 	// logLimit limits how many log lines are written about attempts.
 	logLimit lineLimit
 
-	mu     sync.Mutex
-	locals map[string]*localUpstream
+	mu        sync.Mutex
+	upstreams map[string]*localUpstream
 }
 
 // localUpstream is an upstream on this VM.
@@ -92,12 +92,12 @@
 	o := &Owner{
 		cfg:    cfg,
 		ledger: newLedger(cfg.Now), running: newRunningRequests(),
-		guard:   newStallGuard(boottime.Clock),
-		intake:  newIntake(cfg.LinkMbps, cfg.Now),
-		transit: newTransit(),
-		recent:  suspect.NewRecent(cfg.Now),
-		stop:    make(chan struct{}),
-		locals:  map[string]*localUpstream{},
+		guard:     newStallGuard(boottime.NowAsTime),
+		intake:    newIntake(cfg.LinkMbps, cfg.Now),
+		transit:   newTransit(),
+		recent:    suspect.NewRecent(cfg.Now),
+		stop:      make(chan struct{}),
+		upstreams: map[string]*localUpstream{},
 	}
 	go o.guard.run(o.stop)
 	return o
@@ -110,7 +110,7 @@
 // no longer listed accepts no new attempts; running attempts finish.
 func (o *Owner) Update(v *view.View) {
 	o.leaving.Store(v.Leaving)
-	o.rolloutActive.Store(v.RollsOut())
+	o.rolloutActive.Store(v.HasSplit())
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	present := make(map[string]bool, len(v.Locals))
@@ -118,12 +118,12 @@
 		present[l.ID] = true
 		o.updateLocal(v, l)
 	}
-	for id, loc := range o.locals {
+	for id, loc := range o.upstreams {
 		if present[id] {
 			continue
 		}
 		loc.gate.Close(outcome.ReasonGone)
-		delete(o.locals, id)
+		delete(o.upstreams, id)
 	}
 }
 
@@ -131,18 +131,18 @@
 	if s := v.Services[l.Service]; s != nil && s.Connections > 0 {
 		l.Conns = s.Connections
 	}
-	loc := o.locals[l.ID]
+	loc := o.upstreams[l.ID]
 	if loc != nil && (loc.addr != l.Addr || loc.conns != l.Conns || loc.process != l.Process) {
 		loc.gate.Close(outcome.ReasonGone)
 		loc = nil
 	}
 	if loc == nil {
 		loc = &localUpstream{
-			gate: admission.New(o.cfg.Now, l.Slots, int(float64(l.Slots)*o.cfg.QueueFactor), time.UnixMilli(l.Since)),
+			gate: admission.New(o.cfg.Now, l.Slots, int(float64(l.Slots)*o.cfg.QueueFactor), time.UnixMilli(l.AnnouncedAtMs)),
 			addr: l.Addr, conns: l.Conns, process: l.Process,
 			pool: newPool(&net.Dialer{Timeout: o.cfg.ConnectTimeout}, l.Addr, l.Conns, o.cfg.IdleTimeout, o.cfg.Dialect),
 		}
-		o.locals[l.ID] = loc
+		o.upstreams[l.ID] = loc
 	}
 	ramp := time.Duration(0)
 	if s := v.Services[l.Service]; s != nil {
@@ -161,7 +161,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := 0
-	for _, loc := range o.locals {
+	for _, loc := range o.upstreams {
 		l := loc.gate.Load()
 		n += l.InFlight + l.Queued
 	}
@@ -172,8 +172,8 @@
 func (o *Owner) Loads() map[string]outcome.Load {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	loads := make(map[string]outcome.Load, len(o.locals))
-	for id, loc := range o.locals {
+	loads := make(map[string]outcome.Load, len(o.upstreams))
+	for id, loc := range o.upstreams {
 		loads[id] = loc.gate.Load()
 	}
 	return loads
--- a/internal/callpath/ownerhttp.go
+++ b/internal/callpath/ownerhttp.go
@@ -23,21 +23,21 @@
 	pathAttempt = "/.comfrey/attempt"
 )
 
-// Question is a query of an ingress about one of its attempts.
-type Question struct {
+// Inquiry is a query of an ingress about one of its attempts.
+type Inquiry struct {
 	Attempt     string `json:"attempt"`
 	Incarnation uint64 `json:"inc"`
 	// LeftMs is the time left until the attempt's deadline, in milliseconds.
 	LeftMs int64 `json:"left_ms"`
 }
 
-// Reply is the answer to a Question.
-type Reply struct {
+// InquiryReply is the answer to a Question.
+type InquiryReply struct {
 	State State `json:"state"`
 }
 
-// maxQuestion is the largest accepted body of a query, in bytes.
-const maxQuestion = 4096
+// maxInquiryBytes is the largest accepted body of a query, in bytes.
+const maxInquiryBytes = 4096
 
 // ServeHTTP handles attempts and queries from ingress daemons. An attempt is recognized
 // by its header, whatever its path: the path was chosen by the caller.
@@ -48,17 +48,17 @@
 	}
 	switch r.URL.Path {
 	case pathVoid:
-		o.serveQuery(w, r, func(q Question) State {
+		o.serveQuery(w, r, func(q Inquiry) State {
 			return o.ledger.tryVoid(q.Attempt, o.cfg.Now().Add(time.Duration(q.LeftMs)*time.Millisecond))
 		})
 	case pathAttempt:
-		o.serveQuery(w, r, func(q Question) State { return o.ledger.ask(q.Attempt) })
-	case limits.PathReport, limits.PathLoans:
-		if o.cfg.Keeper == nil {
+		o.serveQuery(w, r, func(q Inquiry) State { return o.ledger.ask(q.Attempt) })
+	case limits.PathReport, limits.PathLeases:
+		if o.cfg.LimitCoordinator == nil {
 			http.NotFound(w, r)
 			return
 		}
-		o.cfg.Keeper.ServeHTTP(w, r)
+		o.cfg.LimitCoordinator.ServeHTTP(w, r)
 	default:
 		o.serveAttempt(w, r)
 	}
@@ -66,9 +66,9 @@
 
 // serveQuery answers a query about an attempt. It answers only for this incarnation: an
 // earlier one may have started attempts that this one has no record of.
-func (o *Owner) serveQuery(w http.ResponseWriter, r *http.Request, query func(Question) State) {
-	var q Question
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxQuestion)).Decode(&q)
+func (o *Owner) serveQuery(w http.ResponseWriter, r *http.Request, query func(Inquiry) State) {
+	var q Inquiry
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxInquiryBytes)).Decode(&q)
 	switch {
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -78,7 +78,7 @@
 		w.Header().Set("Content-Type", "application/json")
 		// If this fails, the ingress has disconnected; it treats the attempt's outcome as
 		// unknown.
-		_ = json.NewEncoder(w).Encode(Reply{State: query(q)})
+		_ = json.NewEncoder(w).Encode(InquiryReply{State: query(q)})
 	}
 }
 
@@ -89,10 +89,10 @@
 		o.writeResult(w, outcome.Result{Outcome: outcome.NotRun, Reason: outcome.ReasonBadRequest, Err: err})
 		return
 	}
-	hearSuspect(r.Header, o.cfg.Suspects)
+	mergeSuspectHeader(r.Header, o.cfg.Suspects)
 	o.deductTransitDelay(r.Header, a)
 	if a.Nested {
-		a.Lot = o.cfg.Dialect.lot(a.Request)
+		a.WaitFraction = o.cfg.Dialect.waitFraction(a.Request)
 	}
 	if a.Incarnation != o.cfg.Incarnation {
 		o.writeResult(w, outcome.Refuse(outcome.ReasonGone, 0))
@@ -104,7 +104,7 @@
 	}
 	res := o.receive(r, a)
 	if res.Outcome != outcome.Answered {
-		tellSuspect(w.Header(), o.cfg.Suspects, a)
+		setSuspectHeader(w.Header(), o.cfg.Suspects, a)
 	}
 	o.writeResult(w, res)
 }
@@ -117,7 +117,7 @@
 	if err != nil {
 		return
 	}
-	excess := o.transit.excess(a.life(), time.Duration(us)*time.Microsecond, boottime.Now())
+	excess := o.transit.excess(a.senderIncarnation(), time.Duration(us)*time.Microsecond, boottime.Now())
 	a.Deadline = a.Deadline.Add(-excess)
 	if !a.Objective.IsZero() {
 		a.Objective = a.Objective.Add(-excess)
@@ -144,7 +144,7 @@
 // is refused with the returned result.
 func (o *Owner) readBody(r *http.Request, loc *localUpstream, a *Attempt) (outcome.Result, bool) {
 	if r.ContentLength >= outcome.LongBody {
-		if reason, after := loc.gate.Check(askOf(a)); reason != "" {
+		if reason, after := loc.gate.Check(admissionRequest(a)); reason != "" {
 			return outcome.Refuse(reason, after), false
 		}
 		t, after, ok := o.intake.reserve(r.ContentLength, a.Deadline)
@@ -203,13 +203,13 @@
 	if a.Depth, err = strconv.Atoi(h.Get(HeaderDepth)); err != nil {
 		return nil, errors.Wrap(err, HeaderDepth)
 	}
-	a.Header = stripped(h)
+	a.Header = endToEndHeaders(h)
 	return a, nil
 }
 
-// stripped returns the headers without the Comfrey- headers and without those that apply
+// endToEndHeaders returns the headers without the Comfrey- headers and without those that apply
 // to one connection only. See RFC 9110, section 7.6.1.
-func stripped(h http.Header) http.Header {
+func endToEndHeaders(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
 		if !strings.HasPrefix(name, headerPrefix) && !hopByHop[name] {
@@ -234,7 +234,7 @@
 func (o *Owner) writeResult(w http.ResponseWriter, r outcome.Result) {
 	h := w.Header()
 	if r.Outcome == outcome.Answered {
-		for name, values := range stripped(r.Header) {
+		for name, values := range endToEndHeaders(r.Header) {
 			h[name] = values
 		}
 	}
--- a/internal/callpath/ownerrun.go
+++ b/internal/callpath/ownerrun.go
@@ -16,9 +16,9 @@
 	"github.com/comfreygate/comfreygate/internal/suspect"
 )
 
-// carry admits the attempt, runs it and returns the result. The attempt's slot is held
+// execute admits the attempt, runs it and returns the result. The attempt's slot is held
 // until the answer's body is closed.
-func (o *Owner) carry(ctx context.Context, a *Attempt) outcome.Result {
+func (o *Owner) execute(ctx context.Context, a *Attempt) outcome.Result {
 	stalls := o.guard.stallCount()
 	loc, refusal := o.accept(a)
 	if loc == nil {
@@ -35,7 +35,7 @@
 		o.ledger.abandon(a.ID)
 		return o.refused(a, refusal)
 	}
-	reason, after := loc.gate.Acquire(ctx, askOf(a))
+	reason, after := loc.gate.Acquire(ctx, admissionRequest(a))
 	if reason != "" {
 		o.ledger.abandon(a.ID)
 		return o.refused(a, o.withLoad(outcome.Refuse(reason, after), loc))
@@ -67,7 +67,7 @@
 	switch {
 	case o.guard.stallCount() != stallsBefore || o.guard.stalled() || !o.cfg.Now().Before(a.Deadline):
 		return outcome.ReasonStalled
-	case callerGone(ctx):
+	case callerDisconnected(ctx):
 		return outcome.ReasonCancelled
 	}
 	return ""
@@ -83,14 +83,14 @@
 		return nil, outcome.Refuse(outcome.ReasonDeadline, 0)
 	}
 	o.mu.Lock()
-	loc := o.locals[a.Upstream]
+	loc := o.upstreams[a.Upstream]
 	o.mu.Unlock()
 	if loc == nil {
 		return nil, outcome.Refuse(outcome.ReasonGone, 0)
 	}
 	if reason, ok := o.ledger.receive(a); !ok {
 		if reason == outcome.ReasonDuplicate {
-			return nil, outcome.Unsure(outcome.ReasonDuplicate, errors.New("duplicate request: an earlier copy of it was already received"))
+			return nil, outcome.MayHaveRun(outcome.ReasonDuplicate, errors.New("duplicate request: an earlier copy of it was already received"))
 		}
 		return nil, outcome.Refuse(reason, outcome.MinRetryAfter)
 	}
@@ -126,14 +126,14 @@
 		res.Body.Close()
 		return o.withLoad(o.refuseAdmitted(loc, a, r), loc)
 	}
-	body := &answerBody{ReadCloser: res.Body, read: func(err error) { o.bodyReadEnded(ctx, loc, a, res.StatusCode, err) }, done: func() {
+	body := &answerBody{ReadCloser: res.Body, onReadEnd: func(err error) { o.bodyReadEnded(ctx, loc, a, res.StatusCode, err) }, onClose: func() {
 		loc.attempts.remove(a)
 		loc.gate.Release(o.cfg.Now().Sub(began))
 		o.ledger.finish(a.ID)
 	}}
-	if o.cfg.Dialect.Has != nil {
-		if n, ok := o.cfg.Dialect.Has(res.Header); ok {
-			loc.gate.Report(n)
+	if o.cfg.Dialect.ReportedRequests != nil {
+		if n, ok := o.cfg.Dialect.ReportedRequests(res.Header); ok {
+			loc.gate.RecordRunning(n)
 		}
 	}
 	o.cfg.Metrics.Started.Inc(1)
@@ -149,7 +149,7 @@
 func (o *Owner) failed(ctx context.Context, loc *localUpstream, a *Attempt, began time.Time, err error) outcome.Result {
 	defer loc.attempts.remove(a)
 	err = errors.Wrapf(err, "call upstream %s at %s", a.Upstream, loc.addr)
-	reason, unsent := heldBack(err)
+	reason, unsent := withheldReason(err)
 	if notSent(err) {
 		reason, unsent = outcome.ReasonUnreachable, true
 	}
@@ -162,12 +162,12 @@
 	o.ledger.finish(a.ID)
 	if ctx.Err() != nil {
 		o.logUnknown(loc, a, began, outcome.CancelReason(ctx), err)
-		return outcome.Unsure(outcome.CancelReason(ctx), err)
+		return outcome.MayHaveRun(outcome.CancelReason(ctx), err)
 	}
 	reason = o.diagnoseFailure(ctx, loc, a)
 	o.logUnknown(loc, a, began, reason, err)
 	loc.pool.closeIdle()
-	return outcome.Unsure(reason, err)
+	return outcome.MayHaveRun(reason, err)
 }
 
 // diagnoseFailure distinguishes a crash of the upstream from a broken connection, and
@@ -177,14 +177,14 @@
 	if latest.n == 0 {
 		return outcome.ReasonBroken
 	}
-	o.cfg.Metrics.Ended.Inc(1)
+	o.cfg.Metrics.CrashedAttempts.Inc(1)
 	o.recordCrash(a, latest)
 	if first {
-		o.cfg.Metrics.Ends.Inc(1)
+		o.cfg.Metrics.UpstreamCrashes.Inc(1)
 		o.cfg.Logger.Warn().Str("step", "upstream-ended").Str("peer", a.Upstream).Uint64("end", latest.n).
 			Int("in_flight", loc.gate.Load().InFlight).Stringer("culprit", latest.culprit).Msg("upstream crashed: its address refuses connections")
 	}
-	return outcome.ReasonEnded
+	return outcome.ReasonCrashed
 }
 
 // logUnknown logs an attempt whose outcome is unknown.
@@ -209,15 +209,15 @@
 	}
 	set(req.Header, d.Depth, strconv.Itoa(a.Depth))
 	if loc.process != "" {
-		set(req.Header, d.Expected, loc.process)
+		set(req.Header, d.ExpectedInstance, loc.process)
 	}
 	return req
 }
 
-// noWait is the longest time that taking an idle connection from the pool takes. After a
+// idleConnWaitMax is the longest time that taking an idle connection from the pool takes. After a
 // wait no longer than this, the caller's connection is not checked again: it was checked
 // just before.
-const noWait = time.Millisecond
+const idleConnWaitMax = time.Millisecond
 
 // recheckBeforeSend is called once the request has a connection, after waiting connWait
 // for it. It returns the reason why the request must not be sent any more; otherwise it
@@ -227,7 +227,7 @@
 	switch {
 	case left <= 0:
 		return outcome.ReasonDeadline
-	case connWait > noWait && callerGone(ctx):
+	case connWait > idleConnWaitMax && callerDisconnected(ctx):
 		return outcome.ReasonCancelled
 	}
 	set(req.Header, o.cfg.Dialect.Timeout, strconv.FormatInt(left.Milliseconds(), 10))
--- a/internal/callpath/pool.go
+++ b/internal/callpath/pool.go
@@ -24,9 +24,9 @@
 	// idleTimeout is how long an idle connection is kept.
 	idleTimeout time.Duration
 	dialect     Dialect
-	// unacked limits how long sent bytes may stay unacknowledged; zero means the system's
+	// unackedTimeout limits how long sent bytes may stay unacknowledged; zero means the system's
 	// default, which is minutes.
-	unacked time.Duration
+	unackedTimeout time.Duration
 	// tokens holds one token per open connection; nil if their number is unlimited.
 	tokens chan struct{}
 
@@ -42,9 +42,9 @@
 	br        *bufio.Reader
 	bw        *bufio.Writer
 	idleSince time.Time
-	// spoiled is set once the connection must not be reused. Only the goroutine that
+	// notReusable is set once the connection must not be reused. Only the goroutine that
 	// holds the connection accesses it.
-	spoiled bool
+	notReusable bool
 }
 
 // dialError reports that no connection could be opened, so that nothing was sent.
@@ -67,8 +67,8 @@
 	return errors.As(err, &d)
 }
 
-// heldBack returns the reason why a request was withheld, and whether it was.
-func heldBack(err error) (outcome.Reason, bool) {
+// withheldReason returns the reason why a request was withheld, and whether it was.
+func withheldReason(err error) (outcome.Reason, bool) {
 	var h *withheldError
 	if !errors.As(err, &h) {
 		return "", false
@@ -132,11 +132,11 @@
 		if err != nil && sendErr != nil {
 			err = sendErr
 		}
-		c.spoiled = c.spoiled || sendErr != nil
+		c.notReusable = c.notReusable || sendErr != nil
 	default:
 		// If the connection were reused, the unsent rest of the body would be read as the
 		// start of the next request.
-		c.spoiled = true
+		c.notReusable = true
 	}
 	return res, err
 }
@@ -179,7 +179,7 @@
 // skipForeign discards an answer that belongs to an earlier request: the answer to this
 // request follows it, and this request may already be running.
 func (c *clientConn) skipForeign(res *http.Response) error {
-	c.spoiled = true
+	c.notReusable = true
 	if res.Close || res.ContentLength > maxForeignBytes {
 		return errors.New("cannot skip answer to another request: it is too long or closes the connection")
 	}
@@ -207,7 +207,7 @@
 		p.returnToken()
 		return nil, err
 	}
-	if err := setUnackedTimeout(conn, p.unacked); err != nil {
+	if err := setUnackedTimeout(conn, p.unackedTimeout); err != nil {
 		conn.Close()
 		p.returnToken()
 		return nil, errors.Wrap(err, "set timeout for unacknowledged bytes")
@@ -305,7 +305,7 @@
 		// b.stop reports false if the context has ended: the connection's deadline has
 		// been changed then, and the connection cannot be reused.
 		complete := b.atEOF && b.conn.br.Buffered() == 0
-		if b.stop() && complete && b.reusable && !b.conn.spoiled {
+		if b.stop() && complete && b.reusable && !b.conn.notReusable {
 			b.conn.pool.put(b.conn)
 			return
 		}
--- a/internal/callpath/pool_linux_test.go
+++ b/internal/callpath/pool_linux_test.go
@@ -31,5 +31,5 @@
 		ms, err = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 	}))
 	is.NoErr(err)
-	is.Equal(time.Duration(ms)*time.Millisecond, ownerUnacked)
+	is.Equal(time.Duration(ms)*time.Millisecond, ownerAckTimeout)
 }
--- a/internal/callpath/remote.go
+++ b/internal/callpath/remote.go
@@ -32,11 +32,11 @@
 	// ownerIdleTimeout is how long an idle connection to an owner is kept. Owners keep
 	// theirs longer.
 	ownerIdleTimeout = 60 * time.Second
-	// ownerUnacked is how long data sent to an owner may stay unacknowledged. A VM that
+	// ownerAckTimeout is how long data sent to an owner may stay unacknowledged. A VM that
 	// is partitioned or has lost power acknowledges nothing, and without this limit calls
 	// to it would wait until their deadline. Links of 5 Mbit/s under load were seen to
 	// hold packets for half a second.
-	ownerUnacked = time.Second
+	ownerAckTimeout = time.Second
 	// maxOwnerPools is the maximum number of owners to which connections are kept.
 	maxOwnerPools = 2048
 )
@@ -59,9 +59,9 @@
 	suspects *suspect.Table
 	// callsCtx is cancelled when attempts must end because the process is about to exit.
 	callsCtx context.Context
-	// asker opens a new connection for each inquiry, so that a silent one cannot delay
+	// inquiryTransport opens a new connection for each inquiry, so that a silent one cannot delay
 	// it.
-	asker *http.Transport
+	inquiryTransport *http.Transport
 
 	mu     sync.Mutex
 	owners map[string]*pool
@@ -70,7 +70,7 @@
 func newRemote(dialer *net.Dialer, inquireAfter time.Duration, events *event.Ring, m *Metrics) *remote {
 	return &remote{
 		dialer: dialer, inquireAfter: inquireAfter, events: events, metrics: m,
-		asker: &http.Transport{
+		inquiryTransport: &http.Transport{
 			DialContext:       dialer.DialContext,
 			DisableKeepAlives: true,
 		},
@@ -90,7 +90,7 @@
 		r.evictPool()
 	}
 	p = newPool(r.dialer, owner, 0, ownerIdleTimeout, Dialect{})
-	p.unacked = ownerUnacked
+	p.unackedTimeout = ownerAckTimeout
 	r.owners[owner] = p
 	return p
 }
@@ -153,7 +153,7 @@
 	if a.AnyHost {
 		h.Set(headerAnyHost, "1")
 	}
-	tellSuspect(h, r.suspects, a)
+	setSuspectHeader(h, r.suspects, a)
 	if len(a.Body) >= outcome.LongBody {
 		h.Set("Expect", expectContinue)
 	}
@@ -173,7 +173,7 @@
 		return outcome.ReasonDeadline
 	case left <= waited:
 		return outcome.ReasonUnreachable // would arrive late; another owner may be closer
-	case callerGone(ctx):
+	case callerDisconnected(ctx):
 		return outcome.ReasonCancelled
 	}
 	h.Set(headerLeft, strconv.FormatInt((left-waited).Microseconds(), 10))
@@ -187,7 +187,7 @@
 // parseResult reads the attempt's result from the owner's response.
 func (r *remote) parseResult(res *http.Response, cancel context.CancelCauseFunc) outcome.Result {
 	observeClock(res.Header, r.events)
-	hearSuspect(res.Header, r.suspects)
+	mergeSuspectHeader(res.Header, r.suspects)
 	out := outcome.Result{Outcome: outcome.Kind(res.Header.Get(HeaderOutcome))}
 	out.Load, out.HasLoad = outcome.DecodeLoad(res.Header.Get(headerLoad))
 	if out.Outcome == outcome.Answered {
@@ -196,20 +196,20 @@
 		}
 		out.Status = res.StatusCode
 		out.Header = res.Header
-		out.Body = &answerBody{ReadCloser: res.Body, done: func() { cancel(nil) }}
+		out.Body = &answerBody{ReadCloser: res.Body, onClose: func() { cancel(nil) }}
 		return out
 	}
 	defer cancel(nil)
 	defer res.Body.Close()
 	// Reading to the end allows the connection to be reused.
-	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxQuestion))
+	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxInquiryBytes))
 	out.Reason = outcome.Reason(res.Header.Get(HeaderReason))
 	if out.Outcome == outcome.Unknown {
 		return out
 	}
 	ms, err := strconv.ParseInt(res.Header.Get(HeaderRetryAfter), 10, 64)
 	if out.Outcome != outcome.NotRun || err != nil {
-		return outcome.Unsure(outcome.ReasonBroken, errors.Errorf("owner responded %s without a valid outcome and retry-after", res.Status))
+		return outcome.MayHaveRun(outcome.ReasonBroken, errors.Errorf("owner responded %s without a valid outcome and retry-after", res.Status))
 	}
 	out.RetryAfter = time.Duration(ms) * time.Millisecond
 	return out
@@ -238,7 +238,7 @@
 		go r.voidAfterAnswer(context.WithoutCancel(ctx), u, a)
 		return lostConnection(outcome.CancelReason(ctx), err)
 	}
-	state, askErr := r.ask(context.WithoutCancel(ctx), pathVoid, u, a)
+	state, askErr := r.inquire(context.WithoutCancel(ctx), pathVoid, u, a)
 	if askErr == nil && state == Voided {
 		return r.voidedResult(err)
 	}
@@ -250,7 +250,7 @@
 // lostConnection returns the result of an attempt that may have run and whose owner could
 // not tell.
 func lostConnection(reason outcome.Reason, err error) outcome.Result {
-	out := outcome.Unsure(reason, err)
+	out := outcome.MayHaveRun(reason, err)
 	out.Lost = true
 	return out
 }
@@ -258,7 +258,7 @@
 // unsentResult returns the result of an attempt of which nothing was sent. False: err
 // does not prove that.
 func unsentResult(ctx context.Context, err error) (outcome.Result, bool) {
-	reason, wasHeldBack := heldBack(err)
+	reason, wasHeldBack := withheldReason(err)
 	out := outcome.Refuse(reason, outcome.MinRetryAfter)
 	out.Err = err
 	if wasHeldBack {
@@ -292,10 +292,10 @@
 // given the slot of the running one before its own disconnection is noticed, and nobody
 // could say that it has not run.
 func (r *remote) voidOnShutdown(ctx context.Context, cancel context.CancelCauseFunc, u view.Upstream, a *Attempt) {
-	graceEnd := time.Now().Add(settleTime)
+	graceEnd := time.Now().Add(shutdownGrace)
 	inquiryCtx, cancelInquiry := context.WithDeadline(context.WithoutCancel(ctx), graceEnd)
 	defer cancelInquiry()
-	if state, err := r.ask(inquiryCtx, pathVoid, u, a); err == nil && state == Voided {
+	if state, err := r.inquire(inquiryCtx, pathVoid, u, a); err == nil && state == Voided {
 		cancel(errVoided)
 		return
 	}
@@ -304,16 +304,16 @@
 	cancel(errStopping)
 }
 
-// settleTime is how long running attempts are left alone at shutdown while waiting ones
+// shutdownGrace is how long running attempts are left alone at shutdown while waiting ones
 // are voided: dozens of round trips between failure domains. The outcome of those that
 // have not finished by then is reported as unknown: a process that stops has 0.4 s left
 // for all its last responses, and over a slow link an inquiry may take longer.
-const settleTime = 150 * time.Millisecond
+const shutdownGrace = 150 * time.Millisecond
 
 // voidAfterAnswer voids an attempt whose caller has already been answered, so that it
 // does not start any more.
 func (r *remote) voidAfterAnswer(ctx context.Context, u view.Upstream, a *Attempt) {
-	if _, err := r.ask(ctx, pathVoid, u, a); err != nil {
+	if _, err := r.inquire(ctx, pathVoid, u, a); err != nil {
 		r.onOwnerUnreachable(u)
 	}
 }
@@ -326,7 +326,7 @@
 
 // inquiryInterval returns the interval of inquiries about an attempt.
 func (r *remote) inquiryInterval(a *Attempt) time.Duration {
-	return max(r.inquireAfter, inquiryLatencyFactor*a.Usual)
+	return max(r.inquireAfter, inquiryLatencyFactor*a.TypicalLatency)
 }
 
 // monitorAttempt asks the owner over new connections whether it is working on an attempt
@@ -336,7 +336,7 @@
 func (r *remote) monitorAttempt(ctx context.Context, cancel context.CancelCauseFunc, u view.Upstream, a *Attempt, interval time.Duration) {
 	failed := 0
 	for failed < maxFailedInquiries && ctx.Err() == nil {
-		state, err := r.ask(ctx, pathAttempt, u, a)
+		state, err := r.inquire(ctx, pathAttempt, u, a)
 		delay := interval
 		switch {
 		case err == nil && (state == Waiting || state == Started):
@@ -367,12 +367,12 @@
 	}
 }
 
-// ask sends an inquiry about an attempt to its owner: pathAttempt asks for its state,
+// inquire sends an inquiry about an attempt to its owner: pathAttempt asks for its state,
 // pathVoid voids it unless it has started and then asks for its state.
-func (r *remote) ask(ctx context.Context, path string, u view.Upstream, a *Attempt) (State, error) {
+func (r *remote) inquire(ctx context.Context, path string, u view.Upstream, a *Attempt) (State, error) {
 	ctx, cancel := context.WithTimeout(ctx, inquiryTimeout)
 	defer cancel()
-	body, err := json.Marshal(Question{Attempt: a.ID, Incarnation: u.Incarnation, LeftMs: time.Until(a.Deadline).Milliseconds()})
+	body, err := json.Marshal(Inquiry{Attempt: a.ID, Incarnation: u.Incarnation, LeftMs: time.Until(a.Deadline).Milliseconds()})
 	if err != nil {
 		return "", err
 	}
@@ -380,7 +380,7 @@
 	if err != nil {
 		return "", err
 	}
-	res, err := r.asker.RoundTrip(req)
+	res, err := r.inquiryTransport.RoundTrip(req)
 	if err != nil {
 		return "", errors.Wrapf(err, "query owner %s", u.Daemon)
 	}
@@ -388,7 +388,7 @@
 	if res.StatusCode != http.StatusOK {
 		return "", errors.Errorf("query owner %s: want status 200 OK, got %s", u.Daemon, res.Status)
 	}
-	var reply Reply
-	err = json.NewDecoder(io.LimitReader(res.Body, maxQuestion)).Decode(&reply)
+	var reply InquiryReply
+	err = json.NewDecoder(io.LimitReader(res.Body, maxInquiryBytes)).Decode(&reply)
 	return reply.State, err
 }
--- a/internal/callpath/remote_test.go
+++ b/internal/callpath/remote_test.go
@@ -19,8 +19,8 @@
 func TestInquiryIntervalFollowsTheRoutesLatency(t *testing.T) {
 	is := is.New(t)
 	r := &remote{inquireAfter: 500 * time.Millisecond}
-	is.Equal(r.inquiryInterval(&Attempt{Usual: 20 * time.Millisecond}), 500*time.Millisecond)
-	is.Equal(r.inquiryInterval(&Attempt{Usual: 450 * time.Millisecond}), 900*time.Millisecond)
+	is.Equal(r.inquiryInterval(&Attempt{TypicalLatency: 20 * time.Millisecond}), 500*time.Millisecond)
+	is.Equal(r.inquiryInterval(&Attempt{TypicalLatency: 450 * time.Millisecond}), 900*time.Millisecond)
 }
 
 // TestFailedInquiriesCancelOnlyRepeatableAttempts lets inquiries about an attempt fail,
--- a/internal/callpath/request.go
+++ b/internal/callpath/request.go
@@ -33,7 +33,7 @@
 func (in *Ingress) parse(v *view.View, fresh bool, w http.ResponseWriter, r *http.Request, now time.Time) (call, outcome.Result) {
 	c := call{attempt: Attempt{Request: in.requestID(r), Host: r.Host, URL: r.URL}}
 	if !v.Ready {
-		return c, outcome.Refuse(outcome.ReasonNotReady, pick.UnknownAfter)
+		return c, outcome.Refuse(outcome.ReasonNotReady, pick.DefaultRetryAfter)
 	}
 	route, ok := v.Match(r.Host, r.URL.Path)
 	if !ok {
@@ -51,7 +51,7 @@
 		return c, outcome.Refuse(outcome.ReasonUnknownKey, 0)
 	}
 	if len(route.Targets) == 0 {
-		return c, outcome.Refuse(outcome.ReasonNoService, pick.UnknownAfter)
+		return c, outcome.Refuse(outcome.ReasonNoService, pick.DefaultRetryAfter)
 	}
 	depth, err := optionalInt(r.Header.Get(HeaderDepth), 0)
 	if err != nil {
@@ -78,7 +78,7 @@
 		c.attempt.Workspace, c.attempt.Flow = ws.Name, ws.Name
 		c.attempt.Urgency = cmp.Or(ws.Urgency, c.attempt.Urgency)
 	}
-	in.nest(&c.attempt)
+	in.inheritFromParent(&c.attempt)
 	c.route = route
 	c.attempt.Objective = in.objective(&c, r, now)
 	return c, outcome.Result{}
--- a/internal/callpath/retry.go
+++ b/internal/callpath/retry.go
@@ -78,8 +78,8 @@
 	maxOwners = 6
 )
 
-// tries records the attempts of one call so far.
-type tries struct {
+// callAttempts records the attempts of one call so far.
+type callAttempts struct {
 	upstreams []string
 	// reached is the number of attempts that an upstream may have received, refused the
 	// number of those that an owner had no room for.
@@ -94,7 +94,7 @@
 }
 
 // add records the result of an attempt at an upstream.
-func (t *tries) add(u view.Upstream, r outcome.Result) {
+func (t *callAttempts) add(u view.Upstream, r outcome.Result) {
 	t.upstreams = append(t.upstreams, u.ID)
 	if r.Reached() {
 		t.reached++
@@ -118,7 +118,7 @@
 // best returns the most useful result of the attempts: an upstream's response if there is
 // one, otherwise a result that does not understate what happened. A call that was refused
 // after an attempt that may have run must not be reported as not run.
-func (t *tries) best() outcome.Result {
+func (t *callAttempts) best() outcome.Result {
 	switch {
 	case t.answer != nil:
 		return *t.answer
@@ -134,7 +134,7 @@
 // says why. If no owner was asked, the caller is told to retry after the time at which
 // the first upstream may be asked again; if the call was refused, not before the time
 // that its last owner gave.
-func (t *tries) exhausted(refusal outcome.Result) outcome.Result {
+func (t *callAttempts) exhausted(refusal outcome.Result) outcome.Result {
 	if len(t.upstreams) == 0 {
 		return refusal
 	}
@@ -154,25 +154,25 @@
 
 // mayRetry reports whether a call may be tried again after its last attempt. It spends
 // the retry budgets that apply.
-func (in *Ingress) mayRetry(c *call, t *tries) bool {
+func (in *Ingress) mayRetry(c *call, t *callAttempts) bool {
 	r := t.last
 	if t.refused > 0 && !r.Full() {
-		in.cfg.Metrics.FoundRoom.Inc(1)
-		in.refusals.add(c.service.Name, acceptedRefund)
+		in.cfg.Metrics.RetriesFoundRoom.Inc(1)
+		in.refusalBudget.add(c.service.Name, acceptedRefund)
 	}
 	switch {
 	case r.Outcome == outcome.Answered && !upstreamFailed(r):
 		return false
 	case r.Outcome != outcome.NotRun && !c.attempt.Repeatable:
 		return false
-	case r.Reason == outcome.ReasonQuarantined || r.Reason == outcome.ReasonTried:
+	case r.Reason == outcome.ReasonQuarantined || r.Reason == outcome.ReasonSuspectRunning:
 		return false
 	case r.Reason == outcome.ReasonDeadline || r.Reason == outcome.ReasonCancelled || r.Reason == outcome.ReasonDuplicate:
 		return false
 	case len(t.upstreams) >= maxOwners:
 		return false
 	case r.Full():
-		return t.refused < maxFullOwners && in.spend(in.refusals, c)
+		return t.refused < maxFullOwners && in.spend(in.refusalBudget, c)
 	case !r.Reached():
 		// An upstream that is draining or unreachable costs a call one hop, and a
 		// planned stop must not use up the budget.
@@ -181,10 +181,10 @@
 	if t.reached > c.route.Policy.Retries {
 		return false
 	}
-	if upstreamFailed(r) && !in.spend(in.failures, c) {
+	if upstreamFailed(r) && !in.spend(in.failureBudget, c) {
 		return false
 	}
-	return in.spend(in.budget, c)
+	return in.spend(in.retryBudget, c)
 }
 
 // spend takes a token for the call's service from the budget and counts the retries that
--- a/internal/callpath/retry_test.go
+++ b/internal/callpath/retry_test.go
@@ -39,9 +39,9 @@
 func TestExhaustedCallHasTheLongestRetryAfter(t *testing.T) {
 	is := is.New(t)
 	refusal := outcome.Refuse(outcome.ReasonOverload, 25*time.Millisecond)
-	var nobody tries
+	var nobody callAttempts
 	is.Equal(nobody.exhausted(refusal), refusal)
-	refused := tries{upstreams: []string{"a0"}, last: outcome.Refuse(outcome.ReasonOverload, 60*time.Millisecond)}
+	refused := callAttempts{upstreams: []string{"a0"}, last: outcome.Refuse(outcome.ReasonOverload, 60*time.Millisecond)}
 	is.Equal(refused.exhausted(refusal).RetryAfter, 60*time.Millisecond)
 }
 
@@ -50,12 +50,12 @@
 // reported to its caller as not run.
 func TestRefusalAfterAnUnknownAttemptStaysUnknown(t *testing.T) {
 	is := is.New(t)
-	var calls tries
-	calls.add(view.Upstream{ID: "a0"}, outcome.Unsure(outcome.ReasonEnded, nil))
+	var calls callAttempts
+	calls.add(view.Upstream{ID: "a0"}, outcome.MayHaveRun(outcome.ReasonCrashed, nil))
 	calls.add(view.Upstream{ID: "a1"}, outcome.Refuse(outcome.ReasonOverload, 60*time.Millisecond))
 	for _, r := range []outcome.Result{calls.best(), calls.exhausted(outcome.Refuse(outcome.ReasonQuarantined, 0))} {
 		is.Equal(r.Outcome, outcome.Unknown)
-		is.Equal(r.Reason, outcome.ReasonEnded)
+		is.Equal(r.Reason, outcome.ReasonCrashed)
 		is.Equal(r.RetryAfter, 60*time.Millisecond) // as the last owner gave
 	}
 	answer := outcome.Result{Outcome: outcome.Answered, Body: http.NoBody}
--- a/internal/callpath/runs.go
+++ b/internal/callpath/runningattempts.go
@@ -35,17 +35,17 @@
 // conflict returns the reason why the attempts that are running keep out the given one,
 // or "". The caller must hold r.mu.
 func (r *runningAttempts) conflict(t *suspect.Table, a *Attempt) (reason outcome.Reason) {
-	crashes := endsUnder(t, a)
+	crashes := crashCount(t, a)
 	if crashes == 0 {
 		return ""
 	}
 	for other := range r.attempts {
 		d := other.sum()
 		if d == a.digest() {
-			return outcome.ReasonTried
+			return outcome.ReasonSuspectRunning
 		}
-		if otherCrashes := t.Ends(d); otherCrashes > 0 && max(crashes, otherCrashes) >= isolationThreshold {
-			reason = outcome.ReasonApart
+		if otherCrashes := t.CrashCount(d); otherCrashes > 0 && max(crashes, otherCrashes) >= isolationThreshold {
+			reason = outcome.ReasonOtherSuspect
 		}
 	}
 	return reason
@@ -67,7 +67,7 @@
 	}
 	most, candidate, ambiguous := isolationThreshold-1, suspect.Digest(0), false
 	for _, d := range r.digests() {
-		switch n := t.Ends(d); {
+		switch n := t.CrashCount(d); {
 		case n > most:
 			most, candidate, ambiguous = n, d, false
 		case n == most && n >= isolationThreshold && candidate != d:
--- a/internal/callpath/stop_test.go
+++ b/internal/callpath/stop_test.go
@@ -27,7 +27,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	began := time.Now()
-	r.ingress.Finish()
+	r.ingress.EndCalls()
 	got := map[string]int{<-outcomes: 1}
 	got[<-outcomes]++
 	is.Equal(got, map[string]int{string(outcome.NotRun): 1, string(outcome.Unknown): 1})
@@ -40,10 +40,10 @@
 func TestLateCallsToAStoppingDaemonAreRefused(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 1, 1, time.Millisecond)
-	r.ingress.Refuse()
+	r.ingress.RefuseNewCalls()
 	s := r.send(config.Normal)
 	is.Equal(s.outcome, string(outcome.NotRun))
-	is.Equal(s.after, "2000")
+	is.Equal(s.retryAfter, "2000")
 	is.Equal(r.workers[0].runs.Load(), int64(0))
 }
 
@@ -59,12 +59,12 @@
 		time.Sleep(time.Millisecond)
 	}
 	// Queries to the owner get no connection until they time out.
-	r.ingress.remote.asker.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
+	r.ingress.remote.inquiryTransport.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	began := time.Now()
-	r.ingress.Finish()
+	r.ingress.EndCalls()
 	is.Equal(<-got, string(outcome.Unknown))
-	is.True(time.Since(began) < 2*settleTime)
+	is.True(time.Since(began) < 2*shutdownGrace)
 }
--- a/internal/callpath/suspects.go
+++ b/internal/callpath/suspects.go
@@ -50,12 +50,12 @@
 	return rec
 }
 
-// endsUnder returns how many crashes are recorded for an attempt's request.
-func endsUnder(t *suspect.Table, a *Attempt) int { return len(suspectRecord(t, a).Ends) }
+// crashCount returns how many crashes are recorded for an attempt's request.
+func crashCount(t *suspect.Table, a *Attempt) int { return len(suspectRecord(t, a).Crashes) }
 
 // isolationThreshold is the number of crashes, one short of quarantine, from which a
 // suspect runs beside no other suspect.
-const isolationThreshold = suspect.Enough - 1
+const isolationThreshold = suspect.QuarantineThreshold - 1
 
 // checkSuspect refuses an attempt that must not run now because of the crashes recorded
 // for its request. If it returns no reason, the attempt has been added to loc.attempts
@@ -67,7 +67,7 @@
 	switch reason := loc.attempts.tryAdd(o.cfg.Suspects, a); reason {
 	case "":
 		return outcome.Result{}
-	case outcome.ReasonTried:
+	case outcome.ReasonSuspectRunning:
 		return outcome.Refuse(reason, suspectRetryAfter)
 	default:
 		return outcome.Refuse(reason, outcome.MinRetryAfter)
@@ -81,20 +81,20 @@
 // upstreams at any time and would be quarantined whenever three upstreams crash at once.
 func (o *Owner) recordCrash(a *Attempt, c crash) {
 	t, d := o.cfg.Suspects, a.digest()
-	if t.Ends(d) >= isolationThreshold && d != c.culprit || o.recent.Excuse(d) {
+	if t.CrashCount(d) >= isolationThreshold && d != c.culprit || o.recent.ExemptOnce(d) {
 		return
 	}
-	t.Charge(d, suspect.EndOf(a.Upstream, o.cfg.Incarnation, c.n))
+	t.RecordCrash(d, suspect.NewCrashID(a.Upstream, o.cfg.Incarnation, c.n))
 }
 
-// Vouch clears a request that has just been quarantined if an upstream here answered it
+// ClearIfAnswered clears a request that has just been quarantined if an upstream here answered it
 // recently: if all upstreams that were running it crash at once, none is left to clear it
 // by an answer. A request is cleared this way only once until its next answer; otherwise
 // one that has become poisonous could crash three more upstreams for each daemon that
 // answered it before.
-func (o *Owner) Vouch(r suspect.Record) {
-	if r.Quarantined() && !r.Vouched && o.recent.Has(r.Digest) {
-		o.cfg.Suspects.Vouch(r.Digest)
+func (o *Owner) ClearIfAnswered(r suspect.Record) {
+	if r.Quarantined() && !r.ClearedUnanswered && o.recent.Has(r.Digest) {
+		o.cfg.Suspects.ClearUnanswered(r.Digest)
 	}
 }
 
@@ -113,12 +113,12 @@
 	}
 }
 
-// tellSuspect puts the suspect record of an attempt's request, if it has any crashes,
+// setSuspectHeader puts the suspect record of an attempt's request, if it has any crashes,
 // into the headers of a message, so that the receiving daemon has it before it acts on
 // the message.
-func tellSuspect(h http.Header, t *suspect.Table, a *Attempt) {
+func setSuspectHeader(h http.Header, t *suspect.Table, a *Attempt) {
 	rec := suspectRecord(t, a)
-	if len(rec.Ends) == 0 {
+	if len(rec.Crashes) == 0 {
 		return
 	}
 	if b, err := json.Marshal(rec); err == nil {
@@ -126,9 +126,9 @@
 	}
 }
 
-// hearSuspect merges the suspect record that tellSuspect put into the headers. A record
+// mergeSuspectHeader merges the suspect record that tellSuspect put into the headers. A record
 // that cannot be decoded is ignored.
-func hearSuspect(h http.Header, t *suspect.Table) {
+func mergeSuspectHeader(h http.Header, t *suspect.Table) {
 	var rec suspect.Record
 	if text := h.Get(headerSuspect); text != "" && json.Unmarshal([]byte(text), &rec) == nil {
 		t.Merge(rec)
--- a/internal/callpath/suspects_test.go
+++ b/internal/callpath/suspects_test.go
@@ -74,12 +74,12 @@
 	for range 3 {
 		r.get("/normal?x=1")
 	}
-	is.Equal(runs(), suspect.Enough)
+	is.Equal(runs(), suspect.QuarantineThreshold)
 	r.restartUpstreams()
 	reason, after := r.get("/normal?x=1")
 	is.Equal(reason, string(outcome.ReasonQuarantined))
 	is.True(after != "")
-	is.Equal(runs(), suspect.Enough)
+	is.Equal(runs(), suspect.QuarantineThreshold)
 	for _, path := range []string{"/normal", "/normal?x=2", "/critical?x=1"} {
 		reason, _ := r.get(path)
 		is.Equal(reason, "")
@@ -95,21 +95,21 @@
 	r := newRig(t, 1, 4, time.Millisecond)
 	w := r.workers[0]
 	a := Attempt{Caller: "c", Method: http.MethodGet, URL: mustURL(t, "/normal?x=1"), AnyHost: true}
-	for end := range suspect.Enough {
-		w.owner.cfg.Suspects.Charge(a.digest(), suspect.End(end+1))
+	for end := range suspect.QuarantineThreshold {
+		w.owner.cfg.Suspects.RecordCrash(a.digest(), suspect.CrashID(end+1))
 	}
 	reason, _ := r.get("/normal?x=1")
 	is.Equal(reason, string(outcome.ReasonQuarantined))
-	is.Equal(r.ingress.cfg.Suspects.Ends(a.digest()), suspect.Enough)
+	is.Equal(r.ingress.cfg.Suspects.CrashCount(a.digest()), suspect.QuarantineThreshold)
 	is.Equal(w.runs.Load(), int64(0))
 	reason, _ = r.get("/normal?x=2")
 	is.Equal(reason, "")
 
 	b := Attempt{Caller: "c", Method: http.MethodGet, URL: mustURL(t, "/normal?x=3"), AnyHost: true}
-	r.ingress.cfg.Suspects.Charge(b.digest(), 1)
+	r.ingress.cfg.Suspects.RecordCrash(b.digest(), 1)
 	reason, _ = r.get("/normal?x=3")
 	is.Equal(reason, "")
-	is.Equal(w.owner.cfg.Suspects.Ends(b.digest()), 0) // received from the ingress, and cleared by the answer
+	is.Equal(w.owner.cfg.Suspects.CrashCount(b.digest()), 0) // received from the ingress, and cleared by the answer
 	rec, ok := w.owner.cfg.Suspects.Record(b.digest())
 	is.True(ok && rec.Round == 1)
 }
@@ -136,16 +136,16 @@
 	attempt := func(path string, crashes int) *Attempt {
 		a := &Attempt{Method: http.MethodGet, URL: mustURL(t, path)}
 		for e := range crashes {
-			tab.Charge(a.digest(), suspect.End(e+1))
+			tab.RecordCrash(a.digest(), suspect.CrashID(e+1))
 		}
 		return a
 	}
 	var rs runningAttempts
 	first := attempt("/a", isolationThreshold)
 	is.Equal(rs.tryAdd(tab, first), outcome.Reason(""))
-	is.Equal(rs.tryAdd(tab, attempt("/a", 0)), outcome.ReasonTried)
-	is.Equal(rs.tryAdd(tab, attempt("/b", isolationThreshold)), outcome.ReasonApart)
-	is.Equal(rs.tryAdd(tab, attempt("/c", 1)), outcome.ReasonApart)
+	is.Equal(rs.tryAdd(tab, attempt("/a", 0)), outcome.ReasonSuspectRunning)
+	is.Equal(rs.tryAdd(tab, attempt("/b", isolationThreshold)), outcome.ReasonOtherSuspect)
+	is.Equal(rs.tryAdd(tab, attempt("/c", 1)), outcome.ReasonOtherSuspect)
 	is.Equal(rs.tryAdd(tab, attempt("/d", 0)), outcome.Reason(""))
 	is.Equal(rs.tryAdd(tab, attempt("/d", 0)), outcome.Reason(""))
 	rs.remove(first)
@@ -175,19 +175,19 @@
 		}
 	}
 	crashUnderAll(1)
-	is.Equal(tab.Ends(answered.digest()), 0) // answered here recently
+	is.Equal(tab.CrashCount(answered.digest()), 0) // answered here recently
 	o.recordAnswer(bystander, http.StatusInternalServerError)
-	is.Equal(tab.Ends(bystander.digest()), 1) // a failed answer clears nothing
+	is.Equal(tab.CrashCount(bystander.digest()), 1) // a failed answer clears nothing
 	o.recordAnswer(bystander, http.StatusOK)
 	crashUnderAll(2)
 	crashUnderAll(3)
-	is.Equal(tab.Ends(culprit.digest()), 3)
-	is.Equal(tab.Ends(bystander.digest()), 1)                 // not charged with the second crash
-	is.Equal(tab.Ends(answered.digest()), isolationThreshold) // spared one crash only
+	is.Equal(tab.CrashCount(culprit.digest()), 3)
+	is.Equal(tab.CrashCount(bystander.digest()), 1)                 // not charged with the second crash
+	is.Equal(tab.CrashCount(answered.digest()), isolationThreshold) // spared one crash only
 	crashUnderAll(4)
 	crashUnderAll(5)
-	is.Equal(tab.Ends(bystander.digest()), isolationThreshold) // attributed to the quarantined request
-	is.Equal(tab.Ends(answered.digest()), isolationThreshold)
+	is.Equal(tab.CrashCount(bystander.digest()), isolationThreshold) // attributed to the quarantined request
+	is.Equal(tab.CrashCount(answered.digest()), isolationThreshold)
 }
 
 // TestOwnerThatAnsweredClearsOnce: popular requests can be quarantined for crashes that
@@ -199,20 +199,20 @@
 	o := &Owner{cfg: OwnerConfig{Suspects: tab}, recent: suspect.NewRecent(time.Now)}
 	a := &Attempt{Method: http.MethodGet, URL: mustURL(t, "/a")}
 	quarantine := func() suspect.Record {
-		for e := range suspect.Enough {
-			tab.Charge(a.digest(), suspect.End(e+1))
+		for e := range suspect.QuarantineThreshold {
+			tab.RecordCrash(a.digest(), suspect.CrashID(e+1))
 		}
 		rec, _ := tab.Record(a.digest())
 		return rec
 	}
-	o.Vouch(quarantine())
-	is.Equal(tab.Ends(a.digest()), suspect.Enough) // no upstream here has answered it
+	o.ClearIfAnswered(quarantine())
+	is.Equal(tab.CrashCount(a.digest()), suspect.QuarantineThreshold) // no upstream here has answered it
 	tab.Answered(a.digest())
 	o.recent.Add(a.digest())
-	o.Vouch(quarantine())
-	is.Equal(tab.Ends(a.digest()), 0)
-	o.Vouch(quarantine())
-	is.Equal(tab.Ends(a.digest()), suspect.Enough)
+	o.ClearIfAnswered(quarantine())
+	is.Equal(tab.CrashCount(a.digest()), 0)
+	o.ClearIfAnswered(quarantine())
+	is.Equal(tab.CrashCount(a.digest()), suspect.QuarantineThreshold)
 }
 
 // TestCrashUnderTwoSuspectsQuarantinesNeither: crashes under two suspects with equally
@@ -232,10 +232,10 @@
 		o.recordCrash(one, c)
 		o.recordCrash(two, c)
 	}
-	is.Equal(tab.Ends(one.digest()), isolationThreshold)
-	is.Equal(tab.Ends(two.digest()), isolationThreshold)
+	is.Equal(tab.CrashCount(one.digest()), isolationThreshold)
+	is.Equal(tab.CrashCount(two.digest()), isolationThreshold)
 	rs.remove(one)
-	is.Equal(rs.tryAdd(tab, one), outcome.ReasonApart)
+	is.Equal(rs.tryAdd(tab, one), outcome.ReasonOtherSuspect)
 }
 
 func mustURL(t *testing.T, text string) *url.URL {
--- a/internal/callpath/unsent_test.go
+++ b/internal/callpath/unsent_test.go
@@ -42,7 +42,7 @@
 // callerThatLeaves returns the context of a request whose caller closes its connection
 // when leave is called, without the HTTP server noticing.
 func callerThatLeaves(t *testing.T) (ctx context.Context, leave func()) {
-	client, server := pair(t)
+	client, server := connPair(t)
 	return WithConn(context.Background(), server), func() {
 		client.Close()
 		for !closedByPeer(server) { // the close takes a moment to arrive
@@ -60,7 +60,7 @@
 	r := newRig(t, 1, 1, time.Millisecond)
 	w := r.workers[0]
 	connect := func(wait func()) {
-		p := w.owner.locals[w.id].pool
+		p := w.owner.upstreams[w.id].pool
 		p.closeIdle()
 		p.dialer = slowDialer(wait)
 	}
@@ -68,14 +68,14 @@
 	ctx, leave := callerThatLeaves(t)
 	connect(func() {
 		leave()
-		time.Sleep(2 * noWait)
+		time.Sleep(2 * idleConnWaitMax)
 	})
-	gone := w.owner.carry(ctx, waitingAttempt("gone", w.id, time.Now().Add(time.Minute)))
+	gone := w.owner.execute(ctx, waitingAttempt("gone", w.id, time.Now().Add(time.Minute)))
 	is.Equal(gone.Outcome, outcome.NotRun)
 	is.Equal(gone.Reason, outcome.ReasonCancelled)
 
 	connect(func() { time.Sleep(60 * time.Millisecond) })
-	late := w.owner.carry(context.Background(), waitingAttempt("late", w.id, time.Now().Add(50*time.Millisecond)))
+	late := w.owner.execute(context.Background(), waitingAttempt("late", w.id, time.Now().Add(50*time.Millisecond)))
 	is.Equal(late.Outcome, outcome.NotRun)
 	is.Equal(late.Reason, outcome.ReasonDeadline)
 
--- a/internal/callpath/workspace.go
+++ b/internal/callpath/workspace.go
@@ -31,7 +31,7 @@
 // forwarded returns the request's headers without those that only the ingress reads or
 // sets: no upstream receives a key, or a workspace name that the caller made up.
 func (in *Ingress) forwarded(h http.Header) http.Header {
-	out := stripped(h)
+	out := endToEndHeaders(h)
 	delete(out, in.cfg.Dialect.Key)
 	delete(out, in.cfg.Dialect.Workspace)
 	return out
--- a/internal/callpath/workspace_test.go
+++ b/internal/callpath/workspace_test.go
@@ -58,7 +58,7 @@
 	}
 	v := *k.ingress.view.Load()
 	v.Routes = view.NewRoutes(k.routes(v)...)
-	v.Routes.Admit(workspaces)
+	v.Routes.SetWorkspaces(workspaces)
 	k.ingress.Update(&v)
 }
 
@@ -220,7 +220,7 @@
 	f.Fuzz(func(t *testing.T, key, header string) {
 		in := &Ingress{cfg: IngressConfig{Dialect: Dialect{Key: "X-Workspace-Key", Workspace: "X-Workspace"}}}
 		v := &view.View{Routes: view.NewRoutes()}
-		v.Routes.Admit(map[string]config.Workspace{
+		v.Routes.SetWorkspaces(map[string]config.Workspace{
 			"a": {Name: "a", KeyHashes: []string{config.KeyHash(keyOf("a"))}}, "b": {Name: "b", KeyHashes: []string{config.KeyHash(keyOf("b"))}},
 		})
 		r := httptest.NewRequest(http.MethodGet, "http://any/", nil)
@@ -243,17 +243,17 @@
 func TestStaleConfigurationRefusesKeyedCalls(t *testing.T) {
 	is := is.New(t)
 	k := newKeyRig(t)
-	k.ingress.cfg.Revoke = time.Minute
+	k.ingress.cfg.MaxConfigAge = time.Minute
 	status := func(path string) int {
 		code, _ := k.send(path, http.Header{"X-Workspace-Key": {keyOf("a")}})
 		return code
 	}
 	is.Equal(status("/normal"), http.StatusServiceUnavailable) // not confirmed yet
 	is.True(k.ingress.Stale())
-	k.ingress.Vouch(freshness.Stamp(boottime.Now()))
+	k.ingress.SetFreshAt(freshness.Timestamp(boottime.Now()))
 	is.Equal(status("/normal"), http.StatusOK)
 	is.True(!k.ingress.Stale())
-	k.ingress.Vouch(freshness.Stamp(boottime.Now() - time.Minute))
+	k.ingress.SetFreshAt(freshness.Timestamp(boottime.Now() - time.Minute))
 	is.Equal(status("/normal"), http.StatusServiceUnavailable)
 	is.Equal(status("/background"), http.StatusOK) // public
 	is.Equal(status("/nowhere"), http.StatusNotFound)
--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -56,8 +56,8 @@
 	if offset != s.Position {
 		return nil, errors.Errorf("apply: record %d does not follow position %d", offset, s.Position)
 	}
-	if rec.Rules > Rules {
-		return nil, errors.Errorf("apply: record %d needs rules %d, this daemon has %d", offset, rec.Rules, Rules)
+	if rec.Rules > RulesVersion {
+		return nil, errors.Errorf("apply: record %d needs rules %d, this daemon has %d", offset, rec.Rules, RulesVersion)
 	}
 	next := *s
 	next.Position = offset + 1
@@ -87,13 +87,13 @@
 	if err != nil || seed.Version < s.Version || seed.Base < s.Base {
 		return s
 	}
-	return Reseeded(seed, offset)
+	return NewReseededState(seed, offset)
 }
 
-// Reseeded returns the state from which a replacement log continues, when its reseed
+// NewReseededState returns the state from which a replacement log continues, when its reseed
 // checkpoint is at this offset. Base grows by at least one, so that every later version
 // and position compares as greater than those of the lost log.
-func Reseeded(s *State, offset uint64) *State {
+func NewReseededState(s *State, offset uint64) *State {
 	next := *s
 	next.Base = max(s.Version, s.Base+1)
 	next.Position = offset + 1
@@ -124,8 +124,8 @@
 	}
 }
 
-// Check evaluates a command against a state without applying it (a dry run).
-func Check(s *State, cmd Command) error {
+// DryRun evaluates a command against a state without applying it (a dry run).
+func DryRun(s *State, cmd Command) error {
 	_, rej := s.Content.withCommand(cmd, s.Version+1)
 	if rej != nil {
 		return rej
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -98,7 +98,7 @@
 	is := is.New(t)
 	_, err := Apply(Empty(), 1, Record{Command: &Command{ID: "x"}})
 	is.True(err != nil)
-	_, err = Apply(Empty(), 0, Record{Rules: Rules + 1, Command: &Command{ID: "x"}})
+	_, err = Apply(Empty(), 0, Record{Rules: RulesVersion + 1, Command: &Command{ID: "x"}})
 	is.True(err != nil)
 }
 
@@ -166,7 +166,7 @@
 			if a.Hash != b.Hash || a.Version != b.Version || a.Position != b.Position {
 				rt.Fatalf("states differ after record %d", i)
 			}
-			if a.Version < before.Version || a.Content.Consistent() != nil {
+			if a.Version < before.Version || a.Content.CheckConsistency() != nil {
 				rt.Fatalf("version decreased or content became inconsistent")
 			}
 		}
--- a/internal/config/delta.go
+++ b/internal/config/delta.go
@@ -67,8 +67,8 @@
 	return list
 }
 
-// Then returns the delta that has the effect of applying d and then next.
-func (d Delta) Then(next Delta) Delta {
+// Compose returns the delta that has the effect of applying d and then next.
+func (d Delta) Compose(next Delta) Delta {
 	out := Delta{
 		Services: mergeEntities(d.Services, next.Services), Policies: mergeEntities(d.Policies, next.Policies),
 		Callers: mergeEntities(d.Callers, next.Callers), Routes: mergeEntities(d.Routes, next.Routes),
@@ -104,9 +104,9 @@
 
 func (d Delta) drop(ref Ref) { d.content().remove(ref) }
 
-// After returns the state of this version after the delta is applied. It returns an error
+// ApplyDelta returns the state of this version after the delta is applied. It returns an error
 // if the resulting hash differs from the declared one.
-func (s *State) After(d Delta, version uint64, hash string) (*State, error) {
+func (s *State) ApplyDelta(d Delta, version uint64, hash string) (*State, error) {
 	next, err := s.withDelta(d, version)
 	if err != nil {
 		return nil, errors.Wrap(err, "apply delta")
--- a/internal/config/delta_test.go
+++ b/internal/config/delta_test.go
@@ -50,22 +50,22 @@
 		current, combined := first, Delta{}
 		for i := range rapid.IntRange(1, 4).Draw(t, "steps") {
 			doc := Document{Version: uint64(i + 2), Content: drawContent(t)}
-			next, step, err := doc.Follow(current)
+			next, step, err := doc.ApplyTo(current)
 			is.NoErr(err)
 			direct, err := doc.State()
 			is.NoErr(err)
 			is.Equal(next, direct)
-			applied, err := current.After(step, doc.Version, direct.Hash)
+			applied, err := current.ApplyDelta(step, doc.Version, direct.Hash)
 			is.NoErr(err)
 			is.Equal(applied, direct)
 			if i == 0 {
 				combined = step
 			} else {
-				combined = combined.Then(step)
+				combined = combined.Compose(step)
 			}
 			current = next
 		}
-		viaCombined, err := first.After(combined, current.Version, current.Hash)
+		viaCombined, err := first.ApplyDelta(combined, current.Version, current.Hash)
 		is.NoErr(err)
 		is.Equal(viaCombined, current)
 	})
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -44,13 +44,13 @@
 // State returns the state for the document. Its position equals its version, so that two
 // daemons with the same version hold the same state.
 func (d Document) State() (*State, error) {
-	next, _, err := d.Follow(Empty())
+	next, _, err := d.ApplyTo(Empty())
 	return next, err
 }
 
-// Follow returns the state in which the document replaces the content of s, and the delta
+// ApplyTo returns the state in which the document replaces the content of s, and the delta
 // between the two. Only the delta is checked and hashed.
-func (d Document) Follow(s *State) (*State, Delta, error) {
+func (d Document) ApplyTo(s *State) (*State, Delta, error) {
 	delta := Diff(s.Content, d.Content)
 	next, err := s.withDelta(delta, d.Version)
 	return next, delta, errors.Wrapf(err, "document %d", d.Version)
--- a/internal/config/normalize.go
+++ b/internal/config/normalize.go
@@ -11,13 +11,13 @@
 type Flaw struct {
 	Entity Ref
 	// Problem describes what is wrong, Instead what is applied in its place.
-	Problem string
-	Instead string
+	Problem    string
+	Resolution string
 }
 
 // String formats the flaw for operators.
 func (f Flaw) String() string {
-	return strings.TrimSpace(f.Entity.String()) + ": " + f.Problem + "; " + f.Instead
+	return strings.TrimSpace(f.Entity.String()) + ": " + f.Problem + "; " + f.Resolution
 }
 
 // Kinds that occur only in flaws.
@@ -58,7 +58,7 @@
 
 // AddFlaw records a flaw.
 func (d *Document) AddFlaw(kind Kind, name, problem, instead string) {
-	d.Flaws = append(d.Flaws, Flaw{Entity: Ref{Kind: kind, Name: name}, Problem: problem, Instead: instead})
+	d.Flaws = append(d.Flaws, Flaw{Entity: Ref{Kind: kind, Name: name}, Problem: problem, Resolution: instead})
 }
 
 // AddRoute adds a route. If its name is missing or taken, a name is made from its host and
--- a/internal/config/record.go
+++ b/internal/config/record.go
@@ -52,9 +52,9 @@
 	Reseed bool `json:"reseed,omitempty"`
 }
 
-// Rules is the version of the rules by which Apply accepts or rejects a record. Daemons
+// RulesVersion is the version of the rules by which Apply accepts or rejects a record. Daemons
 // that read a record with newer rules stop reading, because they could apply it wrongly.
-const Rules = 1
+const RulesVersion = 1
 
 // Record is one entry of the configuration stream: a command or a checkpoint.
 type Record struct {
@@ -65,7 +65,7 @@
 
 // Encode returns the record's encoding for the log.
 func (r Record) Encode() ([]byte, error) {
-	r.Rules = Rules
+	r.Rules = RulesVersion
 	b, err := json.Marshal(r)
 	return b, errors.Wrap(err, "encode record")
 }
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -142,15 +142,15 @@
 	if got := s.computeHash(); got != s.Hash {
 		return nil, errors.Errorf("decode state: hash is %s, declared %s", got, s.Hash)
 	}
-	if err := s.Content.Consistent(); err != nil {
+	if err := s.Content.CheckConsistency(); err != nil {
 		return nil, errors.Wrap(err, "decode state")
 	}
 	return s, nil
 }
 
-// Consistent returns an error if two workspaces share a key or a route refers to an entity
+// CheckConsistency returns an error if two workspaces share a key or a route refers to an entity
 // that does not exist. Only consistent content may be served.
-func (c Content) Consistent() error {
+func (c Content) CheckConsistency() error {
 	if err := c.checkWorkspaceKeys(); err != nil {
 		return err
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -21,7 +21,7 @@
 	MaxTimeout      = 10 * time.Minute
 	MaxRamp         = 10 * time.Minute
 	MaxRetries      = 5
-	MaxPath         = 1024
+	MaxPathLength   = 1024
 	maxIDLength     = 64
 	maxAuthorLength = 128
 )
@@ -137,8 +137,8 @@
 
 func (r Route) validate() error {
 	switch {
-	case !strings.HasPrefix(r.Path, "/") || len(r.Path) > MaxPath:
-		return errors.Errorf("path %q must begin with / and have at most %d characters", r.Path, MaxPath)
+	case !strings.HasPrefix(r.Path, "/") || len(r.Path) > MaxPathLength:
+		return errors.Errorf("path %q must begin with / and have at most %d characters", r.Path, MaxPathLength)
 	case r.Path != "/" && path.Clean(r.Path) != r.Path:
 		return errors.Errorf("path %q must be clean and not end with /", r.Path)
 	case len(r.Callers) > MaxCallers:
--- a/internal/devlog/devlog.go
+++ b/internal/devlog/devlog.go
@@ -90,15 +90,15 @@
 }
 
 // Newest implements store.Log.
-func (l *Log) Newest(ctx context.Context, topic string) (store.Newest, error) {
+func (l *Log) Newest(ctx context.Context, topic string) (store.NewestRecords, error) {
 	if err := l.applyFaults(ctx); err != nil {
-		return store.Newest{}, err
+		return store.NewestRecords{}, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Reads++
 	s := l.recordsOf(topic)
-	out := store.Newest{End: s.end()}
+	out := store.NewestRecords{End: s.end()}
 	for _, key := range slices.Sorted(maps.Keys(s.newest)) {
 		out.Entries = append(out.Entries, s.newest[key])
 	}
--- a/internal/devlog/http.go
+++ b/internal/devlog/http.go
@@ -43,7 +43,7 @@
 		http.Error(w, "at: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	var out store.Appended
+	var out store.AppendResult
 	for i, e := range entries {
 		offset, err := l.appendAt(r.Context(), topic, e, at)
 		at = nil // the condition applies only to the first record
@@ -84,7 +84,7 @@
 	entries := make([]store.Entry, 0, len(records))
 	for _, data := range records {
 		e := store.Entry{Data: data}
-		if store.Keyed(topic) {
+		if store.IsKeyedTopic(topic) {
 			if e.Key, e.Data, err = store.SplitKey(data); err != nil {
 				return nil, err
 			}
@@ -114,7 +114,7 @@
 	}
 	if from < batch.First {
 		w.WriteHeader(http.StatusGone)
-		writeJSON(w, store.Expired{First: batch.First})
+		writeJSON(w, store.ExpiredError{First: batch.First})
 		return
 	}
 	b, err := store.EncodeBatch(batch)
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -51,7 +51,7 @@
 	UpstreamUp       Kind = "upstream-announced"
 	UpstreamRamped   Kind = "upstream-ramped"
 	UpstreamDraining Kind = "upstream-draining"
-	UpstreamGone     Kind = "upstream-gone"
+	UpstreamRemoved  Kind = "upstream-gone"
 	MemberUp         Kind = "member-up"
 	MemberLapsed     Kind = "member-lapsed"
 	CallRefused      Kind = "call-refused"
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -5,42 +5,42 @@
 
 import "time"
 
-// Stamp is the last time at which the configuration held was certainly the newest. Zero
+// Timestamp is the last time at which the configuration held was certainly the newest. Zero
 // means never.
-type Stamp time.Duration
+type Timestamp time.Duration
 
 // Fresh reports whether the configuration may still serve such calls now. bound is the time
 // after which an accepted version must be obeyed by all daemons; zero means that there is no
 // such bound. This is safe because the configuration includes all versions accepted before
 // the timestamp, and one accepted after it need not be obeyed until the bound has passed.
-func (s Stamp) Fresh(now, bound time.Duration) bool {
+func (s Timestamp) Fresh(now, bound time.Duration) bool {
 	return bound == 0 || s > 0 && now-time.Duration(s) < bound
 }
 
 // Age returns the time since the timestamp.
-func (s Stamp) Age(now time.Duration) time.Duration { return now - time.Duration(s) }
+func (s Timestamp) Age(now time.Duration) time.Duration { return now - time.Duration(s) }
 
-// Heard returns the timestamp for a confirmation from another VM: its configuration had the
+// FromPeer returns the timestamp for a confirmation from another VM: its configuration had the
 // given age when it had received the message that was sent from here at the time sent. The
 // whole round trip is added to the age, since the clocks of the two VMs cannot be compared.
-func Heard(sent, age time.Duration) Stamp { return Stamp(max(0, sent-age)) }
+func FromPeer(sent, age time.Duration) Timestamp { return Timestamp(max(0, sent-age)) }
 
 // echoWindow is the number of messages whose send times are kept: two seconds' worth at
 // eight messages a second. A connection that is silent for longer than that is closed.
 const echoWindow = 16
 
-// Echoes keeps the send times of the last numbered messages on a connection.
-type Echoes struct {
+// SendTimes keeps the send times of the last numbered messages on a connection.
+type SendTimes struct {
 	seq [echoWindow]uint64
 	at  [echoWindow]time.Duration
 }
 
 // Sent records that the message with the given number was sent. Numbers begin at one.
-func (e *Echoes) Sent(seq uint64, now time.Duration) {
+func (e *SendTimes) Sent(seq uint64, now time.Duration) {
 	e.seq[seq%echoWindow], e.at[seq%echoWindow] = seq, now
 }
 
 // At returns when a message was sent, or false if that is not known, or not any more.
-func (e *Echoes) At(seq uint64) (time.Duration, bool) {
+func (e *SendTimes) At(seq uint64) (time.Duration, bool) {
 	return e.at[seq%echoWindow], seq > 0 && e.seq[seq%echoWindow] == seq
 }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -13,17 +13,17 @@
 func TestStampIsFreshWithinBound(t *testing.T) {
 	is := is.New(t)
 	const bound = 5 * time.Second
-	s := freshness.Stamp(10 * time.Second)
+	s := freshness.Timestamp(10 * time.Second)
 	is.True(s.Fresh(14*time.Second, bound))
 	is.True(!s.Fresh(15*time.Second, bound))
-	is.True(!freshness.Stamp(0).Fresh(time.Second, bound)) // never known to be the newest
-	is.True(freshness.Stamp(0).Fresh(time.Hour, 0))        // no bound
-	is.Equal(freshness.Heard(time.Second, time.Hour), freshness.Stamp(0))
+	is.True(!freshness.Timestamp(0).Fresh(time.Second, bound)) // never known to be the newest
+	is.True(freshness.Timestamp(0).Fresh(time.Hour, 0))        // no bound
+	is.Equal(freshness.FromPeer(time.Second, time.Hour), freshness.Timestamp(0))
 }
 
 func TestEchoesForgetOldMessages(t *testing.T) {
 	is := is.New(t)
-	var e freshness.Echoes
+	var e freshness.SendTimes
 	_, ok := e.At(0)
 	is.True(!ok)
 	for seq := uint64(1); seq <= 40; seq++ {
@@ -41,10 +41,10 @@
 // A daemon's parent confirms the age that its configuration had when it had received the
 // daemon's third ping.
 func Example() {
-	var pings freshness.Echoes
+	var pings freshness.SendTimes
 	pings.Sent(3, 20*time.Second)
 	sent, _ := pings.At(3)
-	s := freshness.Heard(sent, 700*time.Millisecond)
+	s := freshness.FromPeer(sent, 700*time.Millisecond)
 	fmt.Println(s.Fresh(24*time.Second, 5*time.Second), s.Fresh(25*time.Second, 5*time.Second))
 	// Output: true false
 }
--- a/internal/lang/statement.go
+++ b/internal/lang/statement.go
@@ -31,19 +31,19 @@
 	Force     bool
 	IfVersion *uint64
 	Reseed    bool
-	// Clear is the digest of a suspect to clear.
-	Clear string
+	// ClearSuspect is the digest of a suspect to clear.
+	ClearSuspect string
 	// Rollout orders a rollout. Abort names the service whose rollout to abort.
-	Rollout *Rollout
-	Abort   string
+	Rollout      *Rollout
+	AbortRollout string
 }
 
 // Rollout is an order to move a service's calls to the target version of its upstreams
 // within a time limit.
 type Rollout struct {
-	Service string
-	Target  string
-	Within  time.Duration
+	Service  string
+	Target   string
+	Duration time.Duration
 }
 
 // Query asks for the rows of a table.
@@ -100,7 +100,7 @@
 	if err != nil || d <= 0 {
 		return nil, participle.Errorf(r.Within.Pos, "within: %q is not a positive duration such as 12s", r.Within.Value)
 	}
-	return &Rollout{Service: r.Service, Target: r.Target, Within: d}, nil
+	return &Rollout{Service: r.Service, Target: r.Target, Duration: d}, nil
 }
 
 type queryAST struct {
@@ -182,9 +182,9 @@
 	case ast.Reseed:
 		return &Statement{Reseed: true}, nil
 	case ast.Clear != "":
-		return &Statement{Clear: ast.Clear}, nil
+		return &Statement{ClearSuspect: ast.Clear}, nil
 	case ast.Abort != "":
-		return &Statement{Abort: ast.Abort}, nil
+		return &Statement{AbortRollout: ast.Abort}, nil
 	case ast.Rollout != nil:
 		order, err := ast.Rollout.order()
 		if err != nil {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -38,7 +38,7 @@
 // Paths of the listener for other daemons.
 const (
 	PathReport = "/.comfrey/limits"
-	PathLoans  = "/.comfrey/loans"
+	PathLeases = "/.comfrey/loans"
 )
 
 // idleConnTimeout is how long an unused connection to a coordinator is kept open.
@@ -60,8 +60,8 @@
 // Limiter applies the rate limits of workspaces to their calls. Safe for concurrent use.
 type Limiter struct {
 	domain      string
-	share       *quota.Share
-	coordinator *quota.Keeper
+	share       *quota.LocalLimiter
+	coordinator *quota.Coordinator
 	client      *http.Client
 	logger      zerolog.Logger
 	// requests counts the requests to coordinators, failedRequests those without an
@@ -85,7 +85,7 @@
 // New returns a limiter without limits.
 func New(cfg Config) *Limiter {
 	return &Limiter{
-		domain: cfg.Domain, share: quota.NewShare(), coordinator: quota.NewKeeper(cfg.Tolerance), logger: cfg.Logger,
+		domain: cfg.Domain, share: quota.NewLocalLimiter(), coordinator: quota.NewCoordinator(cfg.Tolerance), logger: cfg.Logger,
 		client:   &http.Client{Timeout: coordinatorTimeout, Transport: &http.Transport{DialContext: cfg.Dialer.DialContext, IdleConnTimeout: idleConnTimeout}},
 		requests: metrics.GetOrRegisterCounter("limits.asks", cfg.Metrics), failedRequests: metrics.GetOrRegisterCounter("limits.asks_failed", cfg.Metrics),
 		reportNow: make(chan struct{}, 1), waiters: map[string][]chan bool{},
@@ -100,14 +100,14 @@
 		return
 	}
 	limits := v.Routes.CallLimits()
-	l.coordinator.Set(limits, max(v.Domains, len(v.Keepers)))
+	l.coordinator.Set(limits, max(v.Domains, len(v.LimitCoordinators)))
 	if len(limits) > 0 {
 		l.startReporting.Do(func() { go l.run(stop) })
 	}
 }
 
-// Of returns a workspace's limit, and whether it has one.
-func Of(v *view.View, workspace string) (quota.Limit, bool) {
+// LimitOf returns a workspace's limit, and whether it has one.
+func LimitOf(v *view.View, workspace string) (quota.Limit, bool) {
 	if workspace == "" {
 		return quota.Limit{}, false
 	}
@@ -115,30 +115,30 @@
 	return limit, ok
 }
 
-// HasWord reports whether the limit coordinator has ever replied.
-func (l *Limiter) HasWord() bool { return l.share.HasWord() }
+// HasReply reports whether the limit coordinator has ever replied.
+func (l *Limiter) HasReply() bool { return l.share.HasReply() }
 
 // Admit reports whether a call is within its workspace's limit, and otherwise the result
 // with which it is refused.
 func (l *Limiter) Admit(ctx context.Context, v *view.View, workspace string) (bool, outcome.Result) {
-	limit, limited := Of(v, workspace)
+	limit, limited := LimitOf(v, workspace)
 	if !limited {
 		return true, outcome.Result{}
 	}
 	verdict, retryAfter := l.share.Admit(boottime.Now(), workspace, limit, v.Daemons)
-	if verdict == quota.Ask {
+	if verdict == quota.NeedsGrant {
 		if l.requestGrant(ctx, workspace) {
-			l.share.Granted(boottime.Now(), workspace)
+			l.share.RecordGranted(boottime.Now(), workspace)
 			return true, outcome.Result{}
 		}
-		retryAfter = l.share.Deny(boottime.Now(), workspace)
+		retryAfter = l.share.RecordDenied(boottime.Now(), workspace)
 	}
 	return verdict == quota.Admitted, outcome.Refuse(outcome.ReasonOverLimit, retryAfter)
 }
 
 // GiveBack returns a call that was admitted but did not run.
 func (l *Limiter) GiveBack(v *view.View, workspace string) {
-	if _, limited := Of(v, workspace); limited {
+	if _, limited := LimitOf(v, workspace); limited {
 		l.share.GiveBack(workspace)
 	}
 }
@@ -222,22 +222,22 @@
 		r.Wanted[name] = len(list)
 	}
 	requestedAt := boottime.Now()
-	reply, err := l.sendReport(stop, v.Keepers[l.domain], r)
+	reply, err := l.sendReport(stop, v.LimitCoordinators[l.domain], r)
 	if err != nil {
 		l.failedRequests.Inc(1)
-		l.logger.Debug().Str("step", "report to keeper").Str("peer", v.Keepers[l.domain].Daemon).Err(err).Msg("limit coordinator did not answer; refusing the waiting calls and reporting the counts again")
+		l.logger.Debug().Str("step", "report to keeper").Str("peer", v.LimitCoordinators[l.domain].Daemon).Err(err).Msg("limit coordinator did not answer; refusing the waiting calls and reporting the counts again")
 		l.share.Restore(r)
 		l.resolveWaiters(waiting, nil)
 		return
 	}
-	l.share.Heard(requestedAt, reply)
+	l.share.HandleReply(requestedAt, reply)
 	l.resolveWaiters(waiting, reply.Granted)
 }
 
 // sendReport delivers a report to the coordinator.
-func (l *Limiter) sendReport(stop context.Context, coordinator view.Keeper, r quota.Report) (reply quota.Reply, err error) {
+func (l *Limiter) sendReport(stop context.Context, coordinator view.LimitCoordinator, r quota.Report) (reply quota.Reply, err error) {
 	if coordinator.Local {
-		return l.coordinator.Take(boottime.Now(), r), nil
+		return l.coordinator.HandleReport(boottime.Now(), r), nil
 	}
 	l.requests.Inc(1)
 	return reply, l.post(stop, coordinator, PathReport, r, &reply)
@@ -247,32 +247,32 @@
 // one lacks.
 func (l *Limiter) requestLeases(stop context.Context) {
 	v := l.view.Load()
-	if !v.Keepers[l.domain].Local || !l.requestingLeases.CompareAndSwap(false, true) {
+	if !v.LimitCoordinators[l.domain].Local || !l.requestingLeases.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer l.requestingLeases.Store(false)
 		leased := false
-		request := quota.LoanRequest{Domain: l.domain, Needs: l.coordinator.Needs(boottime.Now())}
-		for domain, k := range v.Keepers {
+		request := quota.LeaseRequest{Domain: l.domain, Needs: l.coordinator.Needs(boottime.Now())}
+		for domain, k := range v.LimitCoordinators {
 			if domain == l.domain || len(request.Needs) == 0 {
 				continue
 			}
 			requestedAt := boottime.Now()
 			var leasedRates map[string]float64
-			if err := l.post(stop, k, PathLoans, request, &leasedRates); err != nil {
+			if err := l.post(stop, k, PathLeases, request, &leasedRates); err != nil {
 				l.logger.Debug().Str("step", "borrow").Str("peer", k.Daemon).Err(err).Msg("limit coordinator did not answer the lease request; skipping it")
 				continue
 			}
-			l.coordinator.Borrow(boottime.Now(), requestedAt, domain, leasedRates)
+			l.coordinator.AddLeases(boottime.Now(), requestedAt, domain, leasedRates)
 			request.Subtract(leasedRates)
 			leased = leased || len(leasedRates) > 0
 		}
-		l.leaseInterval.Store(int64(quota.AskAgain(time.Duration(l.leaseInterval.Load()), leased)))
+		l.leaseInterval.Store(int64(quota.NextLeaseRequestInterval(time.Duration(l.leaseInterval.Load()), leased)))
 	}()
 }
 
-func (l *Limiter) post(stop context.Context, coordinator view.Keeper, path string, body, reply any) error {
+func (l *Limiter) post(stop context.Context, coordinator view.LimitCoordinator, path string, body, reply any) error {
 	if coordinator.Owner == "" {
 		return errors.New("no limit coordinator is known")
 	}
@@ -308,12 +308,12 @@
 	if r.URL.Path == PathReport {
 		var report quota.Report
 		if err = body.Decode(&report); err == nil {
-			answer = l.coordinator.Take(boottime.Now(), report)
+			answer = l.coordinator.HandleReport(boottime.Now(), report)
 		}
 	} else {
-		var request quota.LoanRequest
+		var request quota.LeaseRequest
 		if err = body.Decode(&request); err == nil {
-			answer = l.coordinator.Lend(boottime.Now(), request)
+			answer = l.coordinator.GrantLeases(boottime.Now(), request)
 		}
 	}
 	if err != nil {
@@ -329,5 +329,5 @@
 // domain.
 func (l *Limiter) isCoordinator() bool {
 	v := l.view.Load()
-	return v != nil && v.Keepers[l.domain].Local
+	return v != nil && v.LimitCoordinators[l.domain].Local
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -26,9 +26,9 @@
 		return w.Code
 	}
 	is.Equal(post(PathReport, "{}"), http.StatusConflict)
-	l.view.Store(&view.View{Keepers: map[string]view.Keeper{"d": {Local: true}}})
+	l.view.Store(&view.View{LimitCoordinators: map[string]view.LimitCoordinator{"d": {Local: true}}})
 	is.Equal(post(PathReport, "{}"), http.StatusOK)
-	is.Equal(post(PathLoans, `{"domain":"e","needs":{"a":1}}`), http.StatusOK)
+	is.Equal(post(PathLeases, `{"domain":"e","needs":{"a":1}}`), http.StatusOK)
 	is.Equal(post(PathReport, "["), http.StatusBadRequest)
-	is.Equal(post(PathLoans, `{"needs":[]}`), http.StatusBadRequest)
+	is.Equal(post(PathLeases, `{"needs":[]}`), http.StatusBadRequest)
 }
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -49,26 +49,26 @@
 	ReasonOverload    Reason = "overload"
 	// ReasonLink: the body would wait too long for the network link of the owner's VM.
 	ReasonLink Reason = "link-busy"
-	// ReasonShed: the upstream itself refused the request.
-	ReasonShed Reason = "upstream-refused"
+	// ReasonUpstreamRefused: the upstream itself refused the request.
+	ReasonUpstreamRefused Reason = "upstream-refused"
 	// ReasonMoved: the process at the address is another upstream.
 	ReasonMoved Reason = "upstream-moved"
 	// ReasonQuarantined: the request is quarantined, since upstreams that ran it crashed.
 	ReasonQuarantined Reason = "quarantined"
-	// ReasonTried: the request is a suspect, and a copy of it is running at the upstream.
+	// ReasonSuspectRunning: the request is a suspect, and a copy of it is running at the upstream.
 	// Suspects run one copy at a time.
-	ReasonTried Reason = "being-tried"
-	// ReasonApart: the request is a suspect, and another suspect is running at the
+	ReasonSuspectRunning Reason = "being-tried"
+	// ReasonOtherSuspect: the request is a suspect, and another suspect is running at the
 	// upstream. If the two ran together and the upstream crashed, the cause could not be
 	// told.
-	ReasonApart     Reason = "kept-apart"
-	ReasonDeadline  Reason = "deadline"
-	ReasonVoided    Reason = "voided"
-	ReasonStalled   Reason = "daemon-stalled"
-	ReasonDuplicate Reason = "duplicate"
-	ReasonBroken    Reason = "connection-broken"
-	// ReasonEnded: the upstream crashed while it ran the request.
-	ReasonEnded     Reason = "upstream-ended"
+	ReasonOtherSuspect Reason = "kept-apart"
+	ReasonDeadline     Reason = "deadline"
+	ReasonVoided       Reason = "voided"
+	ReasonStalled      Reason = "daemon-stalled"
+	ReasonDuplicate    Reason = "duplicate"
+	ReasonBroken       Reason = "connection-broken"
+	// ReasonCrashed: the upstream crashed while it ran the request.
+	ReasonCrashed   Reason = "upstream-ended"
 	ReasonCancelled Reason = "cancelled"
 )
 
@@ -103,15 +103,15 @@
 	return Result{Outcome: NotRun, Reason: reason, RetryAfter: after}
 }
 
-// Unsure returns the result of an attempt that may have run.
-func Unsure(reason Reason, err error) Result {
+// MayHaveRun returns the result of an attempt that may have run.
+func MayHaveRun(reason Reason, err error) Result {
 	return Result{Outcome: Unknown, Reason: reason, Err: err}
 }
 
 // Reached reports whether an upstream may have received the request. If an owner refused
 // it, the upstream did no work for it.
 func (r Result) Reached() bool {
-	return r.Outcome != NotRun || r.Reason == ReasonShed || r.Reason == ReasonMoved
+	return r.Outcome != NotRun || r.Reason == ReasonUpstreamRefused || r.Reason == ReasonMoved
 }
 
 // Ran reports whether the upstream is known to have received the request, or to have failed
@@ -123,22 +123,22 @@
 	case r.Outcome != Unknown || r.Lost:
 		return false
 	}
-	return r.Reason == ReasonBroken || r.Reason == ReasonEnded || r.Reason == ReasonDeadline
+	return r.Reason == ReasonBroken || r.Reason == ReasonCrashed || r.Reason == ReasonDeadline
 }
 
 // Full reports whether the owner refused the attempt for lack of capacity at present.
 func (r Result) Full() bool {
-	return r.Outcome == NotRun && (r.Reason == ReasonOverload || r.Reason == ReasonLink || r.Reason == ReasonApart)
+	return r.Outcome == NotRun && (r.Reason == ReasonOverload || r.Reason == ReasonLink || r.Reason == ReasonOtherSuspect)
 }
 
-// OfRequest reports whether the attempt was refused because the request is a suspect, which
+// RefusedAsSuspect reports whether the attempt was refused because the request is a suspect, which
 // says nothing about the state of the upstream.
-func (r Result) OfRequest() bool {
-	return r.Outcome == NotRun && (r.Reason == ReasonQuarantined || r.Reason == ReasonTried || r.Reason == ReasonApart)
+func (r Result) RefusedAsSuspect() bool {
+	return r.Outcome == NotRun && (r.Reason == ReasonQuarantined || r.Reason == ReasonSuspectRunning || r.Reason == ReasonOtherSuspect)
 }
 
-// Away reports whether the upstream accepts no calls at all, whatever their urgency.
-func (r Result) Away() bool {
+// UpstreamUnavailable reports whether the upstream accepts no calls at all, whatever their urgency.
+func (r Result) UpstreamUnavailable() bool {
 	switch r.Reason {
 	case ReasonDraining, ReasonGone, ReasonUnreachable, ReasonMoved:
 		return true
--- a/internal/pick/pick.go
+++ b/internal/pick/pick.go
@@ -9,8 +9,8 @@
 	"github.com/comfreygate/comfreygate/internal/view"
 )
 
-// Need describes the call for which an upstream is picked.
-type Need struct {
+// Criteria describes the call for which an upstream is picked.
+type Criteria struct {
 	Urgency config.Urgency
 	// Objective is the time that an answer should take: a delay of that length costs as
 	// much as the call is worth.
@@ -21,9 +21,9 @@
 	Body int
 	// Bytes is how many bytes are sent to the upstream's VM and back.
 	Bytes int
-	// Home, if not empty, is a key: all daemons pick the same upstream for it, of those
+	// AffinityKey, if not empty, is a key: all daemons pick the same upstream for it, of those
 	// that may be tried, whatever it costs.
-	Home string
+	AffinityKey string
 	// Tried are the IDs of upstreams that are not picked again.
 	Tried []string
 }
@@ -41,13 +41,13 @@
 // Pick returns an upstream that has not been tried yet and counts the attempt as
 // outstanding: Observe and Finished must follow. If no upstream may be used now, the
 // refusal carries the reason and the retry-after time.
-func (p *Picker) Pick(s *view.Service, n Need) (u view.Upstream, refusal outcome.Result, ok bool) {
+func (p *Picker) Pick(s *view.Service, n Criteria) (u view.Upstream, refusal outcome.Result, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	p.expire(now)
 	var best *view.Upstream
-	if n.Home != "" {
+	if n.AffinityKey != "" {
 		best = p.home(s, n, now)
 	} else {
 		best = p.cheapest(p.localityGroupsOf(s), n, p.meansOf(s, now), now)
@@ -59,13 +59,13 @@
 	return *best, outcome.Result{}, true
 }
 
-// UnknownAfter is the retry-after time where it is not known when an upstream will be
+// DefaultRetryAfter is the retry-after time where it is not known when an upstream will be
 // available: by then one that is restarting or unreachable has been tried again.
-const UnknownAfter = time.Second
+const DefaultRetryAfter = time.Second
 
 // refusal returns the reason why none of a service's upstreams can be used, with the time
 // after which the first of those that sent a retry-after time may be tried again.
-func (p *Picker) refusal(s *view.Service, n Need, now time.Time) outcome.Result {
+func (p *Picker) refusal(s *view.Service, n Criteria, now time.Time) outcome.Result {
 	anyReachable, retryAfter := false, time.Duration(0)
 	for i := range s.Upstreams {
 		u := &s.Upstreams[i]
@@ -79,11 +79,11 @@
 	}
 	switch {
 	case len(s.Upstreams) == 0:
-		return outcome.Refuse(outcome.ReasonNoUpstream, UnknownAfter)
+		return outcome.Refuse(outcome.ReasonNoUpstream, DefaultRetryAfter)
 	case !anyReachable:
-		return outcome.Refuse(outcome.ReasonUnreachable, UnknownAfter)
+		return outcome.Refuse(outcome.ReasonUnreachable, DefaultRetryAfter)
 	case retryAfter == 0:
-		return outcome.Refuse(outcome.ReasonOverload, UnknownAfter)
+		return outcome.Refuse(outcome.ReasonOverload, DefaultRetryAfter)
 	}
 	return outcome.Refuse(outcome.ReasonOverload, max(retryAfter, outcome.MinRetryAfter))
 }
@@ -99,7 +99,7 @@
 // cheapest returns the cheapest of the local upstream, two random ones of this failure
 // domain and two of the other domains. Candidates are random because daemons that all
 // picked the best known upstream would overload it until its next load report.
-func (p *Picker) cheapest(groups *localityGroups, n Need, means serviceMeans, now time.Time) *view.Upstream {
+func (p *Picker) cheapest(groups *localityGroups, n Criteria, means serviceMeans, now time.Time) *view.Upstream {
 	var best *view.Upstream
 	least := 0.0
 	consider := func(u *view.Upstream, pathCost float64) {
@@ -125,18 +125,18 @@
 }
 
 // home returns the key's upstream among those that may be tried now.
-func (p *Picker) home(s *view.Service, n Need, now time.Time) *view.Upstream {
+func (p *Picker) home(s *view.Service, n Criteria, now time.Time) *view.Upstream {
 	var usable []view.Upstream
 	for i := range s.Upstreams {
 		if p.usable(&s.Upstreams[i], n, now) {
 			usable = append(usable, s.Upstreams[i])
 		}
 	}
-	return Home(usable, n.Home)
+	return Rendezvous(usable, n.AffinityKey)
 }
 
 // usable reports whether the upstream may be tried now.
-func (p *Picker) usable(u *view.Upstream, n Need, now time.Time) bool {
+func (p *Picker) usable(u *view.Upstream, n Criteria, now time.Time) bool {
 	if p.down[u.Owner] || slices.Contains(n.Tried, u.ID) {
 		return false
 	}
@@ -152,7 +152,7 @@
 // twoUsable returns two random upstreams of the list that may be tried now, or fewer if
 // there are not two. Its cost does not grow with the list unless most upstreams are
 // unusable.
-func (p *Picker) twoUsable(list []*view.Upstream, n Need, now time.Time) []*view.Upstream {
+func (p *Picker) twoUsable(list []*view.Upstream, n Criteria, now time.Time) []*view.Upstream {
 	var two []*view.Upstream
 	take := func(u *view.Upstream) bool {
 		if !slices.Contains(two, u) && p.usable(u, n, now) {
--- a/internal/pick/picker.go
+++ b/internal/pick/picker.go
@@ -105,9 +105,9 @@
 	}
 	p.recordRefusal(u.Service, st, urgency, r, p.now())
 	switch {
-	case r.OfRequest():
+	case r.RefusedAsSuspect():
 		// The result depends on the request, not on the upstream.
-	case r.Outcome == outcome.NotRun && r.Away():
+	case r.Outcome == outcome.NotRun && r.UpstreamUnavailable():
 		st.avoid(config.MostUrgent, p.now().Add(unavailableRetry))
 	case r.Outcome == outcome.NotRun && r.RetryAfter > 0:
 		st.avoid(urgency, p.now().Add(r.RetryAfter))
@@ -187,8 +187,8 @@
 	}
 }
 
-// Home returns the upstream with the highest rendezvous hash for the key.
-func Home(upstreams []view.Upstream, key string) *view.Upstream {
+// Rendezvous returns the upstream with the highest rendezvous hash for the key.
+func Rendezvous(upstreams []view.Upstream, key string) *view.Upstream {
 	var home *view.Upstream
 	var best uint64
 	for i := range upstreams {
--- a/internal/pick/picker_test.go
+++ b/internal/pick/picker_test.go
@@ -54,7 +54,7 @@
 func (r *pickerFixture) pickedDomains(bytes int) map[string]int {
 	n := map[string]int{}
 	for range 300 {
-		u, _, ok := r.Pick(r.service, Need{Urgency: config.Normal, Objective: testObjective, Took: testService, Bytes: bytes})
+		u, _, ok := r.Pick(r.service, Criteria{Urgency: config.Normal, Objective: testObjective, Took: testService, Bytes: bytes})
 		if !ok {
 			n["none"]++
 			continue
@@ -119,7 +119,7 @@
 		r.Observe(u, config.Normal, outcome.Refuse(outcome.ReasonOverload, 80*time.Millisecond))
 		tried = append(tried, u.ID)
 	}
-	_, refusal, ok := r.Pick(r.service, Need{Urgency: config.Normal, Objective: testObjective, Tried: tried})
+	_, refusal, ok := r.Pick(r.service, Criteria{Urgency: config.Normal, Objective: testObjective, Tried: tried})
 	is.True(!ok)
 	is.Equal(refusal.RetryAfter, 80*time.Millisecond)
 }
@@ -135,7 +135,7 @@
 		r.Observe(u, config.Normal, outcome.Refuse(outcome.ReasonOverload, time.Duration(i+3)*10*time.Millisecond))
 	}
 	r.at = r.at.Add(5 * time.Millisecond)
-	_, refusal, ok := r.Pick(r.service, Need{Urgency: config.Normal, Objective: testObjective})
+	_, refusal, ok := r.Pick(r.service, Criteria{Urgency: config.Normal, Objective: testObjective})
 	is.True(!ok)
 	is.Equal(refusal, outcome.Refuse(outcome.ReasonOverload, 25*time.Millisecond))
 }
@@ -148,11 +148,11 @@
 	for _, u := range r.service.Upstreams {
 		r.SetDown(u.Owner, true)
 	}
-	_, refusal, _ := r.Pick(r.service, Need{Urgency: config.Normal, Objective: testObjective})
-	is.Equal(refusal, outcome.Refuse(outcome.ReasonUnreachable, UnknownAfter))
+	_, refusal, _ := r.Pick(r.service, Criteria{Urgency: config.Normal, Objective: testObjective})
+	is.Equal(refusal, outcome.Refuse(outcome.ReasonUnreachable, DefaultRetryAfter))
 	r.service.Upstreams = nil
-	_, refusal, _ = r.Pick(r.service, Need{Urgency: config.Normal, Objective: testObjective})
-	is.Equal(refusal, outcome.Refuse(outcome.ReasonNoUpstream, UnknownAfter))
+	_, refusal, _ = r.Pick(r.service, Criteria{Urgency: config.Normal, Objective: testObjective})
+	is.Equal(refusal, outcome.Refuse(outcome.ReasonNoUpstream, DefaultRetryAfter))
 }
 
 // TestOccasionalErrorsDoNotSendCallsToAnotherDomain: one run in ten at the upstreams of
@@ -169,7 +169,7 @@
 	is.Equal(r.pickedDomains(testLookup)["a"], 300)
 	r.stats["a1"].errors = 0.9
 	for range 300 {
-		u, _, _ := r.Pick(r.service, Need{Urgency: config.Normal, Objective: testObjective, Took: testService, Bytes: testLookup})
+		u, _, _ := r.Pick(r.service, Criteria{Urgency: config.Normal, Objective: testObjective, Took: testService, Bytes: testLookup})
 		is.True(u.ID != "a1")
 		r.Finished(u)
 	}
--- a/internal/pick/room.go
+++ b/internal/pick/refusals.go
@@ -36,7 +36,7 @@
 func (r *refusalRates) record(urgency config.Urgency, res outcome.Result, weight float64, now time.Time) {
 	r.updatedAt = now
 	switch {
-	case res.OfRequest():
+	case res.RefusedAsSuspect():
 	case res.Full():
 		for u := range urgency + 1 {
 			r.byUrgency[u] += weight * (1 - r.byUrgency[u])
--- a/internal/quota/keeper.go
+++ b/internal/quota/coordinator.go
@@ -33,9 +33,9 @@
 // of them.
 type Tolerance struct {
 	// Window is zero if a burst is allowed only once, as with a plain token bucket.
-	Window time.Duration
-	Part   float64
-	Calls  float64
+	Window   time.Duration
+	Fraction float64
+	Calls    float64
 }
 
 // Report is a daemon's message to its coordinator: the calls that it has admitted and the
@@ -52,9 +52,9 @@
 type Reply struct {
 	// Granted is how many of the wanted calls may be admitted, by workspace.
 	Granted map[string]int `json:"granted,omitempty"`
-	// Short holds the workspaces whose calls need a grant from now on, with the
+	// RetryAfterMS holds the workspaces whose calls need a grant from now on, with the
 	// retry-after time of calls that got none, in milliseconds.
-	Short map[string]int64 `json:"short,omitempty"`
+	RetryAfterMS map[string]int64 `json:"short,omitempty"`
 }
 
 const (
@@ -86,9 +86,9 @@
 	maxRetryAfter = 3 * time.Second
 )
 
-// Keeper is the limit coordinator of a failure domain: it counts the domain's calls. Safe
+// Coordinator is the limit coordinator of a failure domain: it counts the domain's calls. Safe
 // for concurrent use.
-type Keeper struct {
+type Coordinator struct {
 	tolerance Tolerance
 
 	mu      sync.Mutex
@@ -110,21 +110,21 @@
 	leasedOut, leasedIn leases
 }
 
-// NewKeeper returns a coordinator without limits.
-func NewKeeper(t Tolerance) *Keeper {
-	return &Keeper{tolerance: t, domains: 1, buckets: map[string]*bucket{}}
+// NewCoordinator returns a coordinator without limits.
+func NewCoordinator(t Tolerance) *Coordinator {
+	return &Coordinator{tolerance: t, domains: 1, buckets: map[string]*bucket{}}
 }
 
 // Set applies limits, each of which is divided among the given number of failure domains.
-func (k *Keeper) Set(limits map[string]Limit, domains int) {
+func (k *Coordinator) Set(limits map[string]Limit, domains int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.limits, k.domains = limits, max(1, domains)
 	maps.DeleteFunc(k.buckets, func(name string, _ *bucket) bool { return limits[name].Rate == 0 })
 }
 
-// Take processes a daemon's report and returns the reply.
-func (k *Keeper) Take(now time.Duration, r Report) Reply {
+// HandleReport processes a daemon's report and returns the reply.
+func (k *Coordinator) HandleReport(now time.Duration, r Report) Reply {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.lastReportAt == 0 || now-k.lastReportAt > maxReportGap {
@@ -137,7 +137,7 @@
 			b.demand += float64(max(0, n)) / demandAverageSeconds
 		}
 	}
-	reply := Reply{Granted: map[string]int{}, Short: map[string]int64{}}
+	reply := Reply{Granted: map[string]int{}, RetryAfterMS: map[string]int64{}}
 	for name, n := range r.Wanted {
 		if b := k.bucket(now, name); b != nil {
 			granted := max(0, min(n, int(math.Floor(b.tokens))))
@@ -152,7 +152,7 @@
 	for name := range k.buckets {
 		switch b := k.bucket(now, name); {
 		case b.tokens < k.grantThreshold(name, b, now):
-			reply.Short[name] = k.retryAfter(b, name, now).Milliseconds()
+			reply.RetryAfterMS[name] = k.retryAfter(b, name, now).Milliseconds()
 		case b.idle() && b.tokens >= k.capacity(name):
 			delete(k.buckets, name) // equal to a new bucket
 		}
@@ -168,7 +168,7 @@
 
 // startCounting resets all buckets: the domain's daemons have meanwhile reported to
 // another coordinator, or to none.
-func (k *Keeper) startCounting(now time.Duration) {
+func (k *Coordinator) startCounting(now time.Duration) {
 	k.startedAt = now
 	for _, b := range k.buckets {
 		b.tokens, b.demand, b.denied, b.updatedAt = 0, 0, 0, now
@@ -176,7 +176,7 @@
 }
 
 // bucket returns a workspace's bucket as of now, or nil if the workspace has no limit.
-func (k *Keeper) bucket(now time.Duration, name string) *bucket {
+func (k *Coordinator) bucket(now time.Duration, name string) *bucket {
 	if k.limits[name].Rate == 0 {
 		return nil
 	}
@@ -197,26 +197,26 @@
 }
 
 // rate is what this coordinator may give out now, in calls per second.
-func (k *Keeper) rate(name string, b *bucket, now time.Duration) float64 {
+func (k *Coordinator) rate(name string, b *bucket, now time.Duration) float64 {
 	return max(0, k.ownRate(name, now)-b.leasedOut.sum(now, "")+b.leasedIn.sum(now, ""))
 }
 
 // ownRate is this failure domain's part of a limit, without leases, in calls per second.
-func (k *Keeper) ownRate(name string, now time.Duration) float64 {
+func (k *Coordinator) ownRate(name string, now time.Duration) float64 {
 	limit := k.limits[name]
 	rate := limit.Rate
 	if windowSeconds := k.tolerance.Window.Seconds(); windowSeconds > 0 {
 		rate += evenBurstFraction * limit.Burst / windowSeconds
 	}
 	rate /= float64(k.domains)
-	if now-k.startedAt < Term {
+	if now-k.startedAt < LeaseDuration {
 		rate *= startupRateFraction
 	}
 	return rate
 }
 
 // capacity is the most tokens that a bucket holds.
-func (k *Keeper) capacity(name string) float64 {
+func (k *Coordinator) capacity(name string) float64 {
 	burst := k.limits[name].Burst
 	if k.tolerance.Window > 0 {
 		burst *= 1 - evenBurstFraction
@@ -225,13 +225,13 @@
 }
 
 // grantThreshold is the number of tokens below which calls need grants.
-func (k *Keeper) grantThreshold(name string, b *bucket, now time.Duration) float64 {
+func (k *Coordinator) grantThreshold(name string, b *bucket, now time.Duration) float64 {
 	return max(1, min(reserveSeconds*k.rate(name, b, now), k.capacity(name)/2))
 }
 
 // retryAfter is when a call that got no grant can expect one: once the recently denied
 // calls have been served as well.
-func (k *Keeper) retryAfter(b *bucket, name string, now time.Duration) time.Duration {
+func (k *Coordinator) retryAfter(b *bucket, name string, now time.Duration) time.Duration {
 	wait := (1 - b.tokens + b.denied) / max(k.rate(name, b, now), 1/maxRetryAfter.Seconds())
 	return min(max(minRetryAfter, time.Duration(wait*float64(time.Second))), maxRetryAfter)
 }
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -28,9 +28,9 @@
 }
 
 type daemon struct {
-	share       *Share
+	share       *LocalLimiter
 	domain      *domain
-	coordinator *Keeper
+	coordinator *Coordinator
 	// requestInterval is the interval at which the coordinator requests leases.
 	requestInterval time.Duration
 	down            bool
@@ -100,7 +100,7 @@
 )
 
 // fleetTolerance is by how much limits may be exceeded.
-var fleetTolerance = Tolerance{Window: 5 * time.Second, Part: 0.1, Calls: 20}
+var fleetTolerance = Tolerance{Window: 5 * time.Second, Fraction: 0.1, Calls: 20}
 
 func newFleet(n, domains int, seed uint64) *fleet {
 	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, limits: map[string]Limit{}, partitioned: map[int]bool{}}
@@ -117,7 +117,7 @@
 		f.limits[s.name] = Limit{Rate: math.Ceil(fleetLimitFactor * s.usualRate), Burst: math.Ceil(fleetLimitFactor * s.usualRate)}
 	}
 	for i := range n {
-		d := &daemon{share: NewShare(), domain: f.domains[i%domains], coordinator: NewKeeper(fleetTolerance)}
+		d := &daemon{share: NewLocalLimiter(), domain: f.domains[i%domains], coordinator: NewCoordinator(fleetTolerance)}
 		d.coordinator.Set(f.limits, domains)
 		d.domain.daemons = append(d.domain.daemons, d)
 		f.daemons = append(f.daemons, d)
@@ -171,7 +171,7 @@
 	switch v, _ := d.share.Admit(f.now, s.name, f.limits[s.name], len(f.daemons)); v {
 	case Admitted:
 		s.admitted = append(s.admitted, f.now)
-	case Ask:
+	case NeedsGrant:
 		d.waiting = append(d.waiting, s)
 		f.report(d, false)
 	}
@@ -198,7 +198,7 @@
 			f.after(300*time.Millisecond, func() { f.handleReply(d, asked, waiting, r, nil) })
 			return
 		}
-		reply := k.coordinator.Take(f.now, r)
+		reply := k.coordinator.HandleReport(f.now, r)
 		f.after(f.messageDelay(), func() { f.handleReply(d, asked, waiting, r, &reply) })
 	})
 }
@@ -212,15 +212,15 @@
 		d.share.Restore(r)
 		reply = &Reply{}
 	} else {
-		d.share.Heard(asked, *reply)
+		d.share.HandleReply(asked, *reply)
 	}
 	for _, s := range waiting {
 		if reply.Granted[s.name] > 0 {
 			reply.Granted[s.name]--
 			s.admitted = append(s.admitted, f.now)
-			d.share.Granted(f.now, s.name)
+			d.share.RecordGranted(f.now, s.name)
 		} else {
-			d.share.Deny(f.now, s.name)
+			d.share.RecordDenied(f.now, s.name)
 		}
 	}
 	if len(d.waiting) > 0 {
@@ -231,19 +231,19 @@
 func (f *fleet) requestLeases(d *daemon) {
 	leased := false
 	defer func() {
-		d.requestInterval = AskAgain(d.requestInterval, leased)
+		d.requestInterval = NextLeaseRequestInterval(d.requestInterval, leased)
 		f.after(d.requestInterval, func() { f.requestLeases(d) })
 	}()
 	if d.down || d.domain.coordinator != d || f.partitioned[d.domain.index] {
 		return
 	}
-	request := LoanRequest{Domain: fmt.Sprint(d.domain.index), Needs: d.coordinator.Needs(f.now)}
+	request := LeaseRequest{Domain: fmt.Sprint(d.domain.index), Needs: d.coordinator.Needs(f.now)}
 	for _, other := range f.domains {
 		if other == d.domain || len(request.Needs) == 0 || f.partitioned[other.index] || other.coordinator.down {
 			continue
 		}
-		leasedRates := other.coordinator.coordinator.Lend(f.now, request)
-		d.coordinator.Borrow(f.now, f.now, fmt.Sprint(other.index), leasedRates)
+		leasedRates := other.coordinator.coordinator.GrantLeases(f.now, request)
+		d.coordinator.AddLeases(f.now, f.now, fmt.Sprint(other.index), leasedRates)
 		request.Subtract(leasedRates)
 		leased = leased || len(leasedRates) > 0
 	}
@@ -257,7 +257,7 @@
 		f.after(1800*time.Millisecond, func() { d.domain.coordinator = d.domain.daemons[len(d.domain.daemons)-1] })
 	}
 	f.after(3500*time.Millisecond, func() {
-		d.down, d.share, d.coordinator, d.reporting = false, NewShare(), NewKeeper(fleetTolerance), false
+		d.down, d.share, d.coordinator, d.reporting = false, NewLocalLimiter(), NewCoordinator(fleetTolerance), false
 		d.coordinator.Set(f.limits, len(f.domains))
 		d.domain.coordinator = d
 	})
@@ -270,7 +270,7 @@
 	t := fleetTolerance
 	for _, s := range f.workspaces {
 		l := f.limits[s.name]
-		allowed := (l.Rate*t.Window.Seconds()+l.Burst)*(1+t.Part) + t.Calls
+		allowed := (l.Rate*t.Window.Seconds()+l.Burst)*(1+t.Fraction) + t.Calls
 		for i, at := range s.admitted {
 			j, _ := slices.BinarySearch(s.admitted, at+t.Window)
 			if x := (float64(j-i) - allowed) / allowed; x > worst {
@@ -390,16 +390,16 @@
 	}
 }
 
-// TestLoansNeverAddUpToMoreThanTheLimit drives coordinators that grant and take leases,
+// TestLeasesNeverAddUpToMoreThanTheLimit drives coordinators that grant and take leases,
 // lose answers and are partitioned: the rates that they may give out must never add up to
 // more than the limit.
-func TestLoansNeverAddUpToMoreThanTheLimit(t *testing.T) {
+func TestLeasesNeverAddUpToMoreThanTheLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const domains = 3
 		limit := Limit{Rate: 90, Burst: 30}
-		var coordinators []*Keeper
+		var coordinators []*Coordinator
 		for range domains {
-			k := NewKeeper(fleetTolerance)
+			k := NewCoordinator(fleetTolerance)
 			k.Set(map[string]Limit{"ws": limit}, domains)
 			coordinators = append(coordinators, k)
 		}
@@ -420,17 +420,17 @@
 			now += time.Duration(rapid.IntRange(1, 400).Draw(rt, "ms")) * time.Millisecond
 			i := rapid.IntRange(0, domains-1).Draw(rt, "keeper")
 			for _, k := range coordinators {
-				k.Take(now, Report{})
+				k.HandleReport(now, Report{})
 			}
-			coordinators[i].Take(now, Report{Used: map[string]int{"ws": rapid.IntRange(0, 60).Draw(rt, "used")}})
+			coordinators[i].HandleReport(now, Report{Used: map[string]int{"ws": rapid.IntRange(0, 60).Draw(rt, "used")}})
 			check()
 			lender := (i + rapid.IntRange(1, domains-1).Draw(rt, "lender")) % domains
 			needs, asked := coordinators[i].Needs(now), now
-			leasedRates := coordinators[lender].Lend(now, LoanRequest{Domain: fmt.Sprint(i), Needs: needs})
+			leasedRates := coordinators[lender].GrantLeases(now, LeaseRequest{Domain: fmt.Sprint(i), Needs: needs})
 			check()
 			if rapid.Bool().Draw(rt, "heard") {
 				now += time.Duration(rapid.IntRange(0, 300).Draw(rt, "late")) * time.Millisecond
-				coordinators[i].Borrow(now, asked, fmt.Sprint(lender), leasedRates)
+				coordinators[i].AddLeases(now, asked, fmt.Sprint(lender), leasedRates)
 				check()
 			}
 		}
@@ -447,19 +447,19 @@
 		limits[fmt.Sprint("ws", i)] = Limit{Rate: 10, Burst: 10}
 		used[fmt.Sprint("ws", i)] = 1
 	}
-	k := NewKeeper(fleetTolerance)
+	k := NewCoordinator(fleetTolerance)
 	k.Set(limits, 3)
 	now := time.Second
-	k.Take(now, Report{Used: used})
+	k.HandleReport(now, Report{Used: used})
 	is.Equal(len(k.buckets), 10_000)
 	for range 100 {
 		now += 100 * time.Millisecond
-		k.Take(now, Report{Used: map[string]int{"ws1": 1}})
+		k.HandleReport(now, Report{Used: map[string]int{"ws1": 1}})
 	}
 	is.Equal(len(k.buckets), 1)
 	k.Set(map[string]Limit{}, 3) // removes all limits
 	is.Equal(len(k.buckets), 0)
-	is.Equal(k.Take(now, Report{Wanted: map[string]int{"ws1": 3}}).Granted["ws1"], 3)
+	is.Equal(k.HandleReport(now, Report{Wanted: map[string]int{"ws1": 3}}).Granted["ws1"], 3)
 }
 
 // TestWorkspaceAboveItsLimitGetsNearlyAllOfIt checks that a workspace which sends a
--- a/internal/quota/lend.go
+++ b/internal/quota/lease.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// Term is the duration of a lease. A daemon that borrowed rate and is then
+	// LeaseDuration is the duration of a lease. A daemon that borrowed rate and is then
 	// partitioned falls back to its own part when the lease expires.
-	Term = time.Second
+	LeaseDuration = time.Second
 	// demandThreshold is the demand, as a part of its own rate, from which a coordinator
 	// requests leases.
 	demandThreshold = 0.8
@@ -24,9 +24,9 @@
 	maxRequestInterval     = 500 * time.Millisecond
 )
 
-// AskAgain returns the interval after which to request leases again, given the previous
+// NextLeaseRequestInterval returns the interval after which to request leases again, given the previous
 // interval and whether the other coordinators granted anything.
-func AskAgain(previous time.Duration, granted bool) time.Duration {
+func NextLeaseRequestInterval(previous time.Duration, granted bool) time.Duration {
 	if granted || previous == 0 {
 		return initialRequestInterval
 	}
@@ -79,8 +79,8 @@
 	return append(kept, added)
 }
 
-// LoanRequest asks another domain's coordinator to lease the rates that this one lacks.
-type LoanRequest struct {
+// LeaseRequest asks another domain's coordinator to lease the rates that this one lacks.
+type LeaseRequest struct {
 	// Domain is the failure domain of the requesting coordinator.
 	Domain string `json:"domain"`
 	// Needs are the missing rates, by workspace.
@@ -88,7 +88,7 @@
 }
 
 // Subtract removes what was leased from the needs.
-func (r LoanRequest) Subtract(leasedRates map[string]float64) {
+func (r LeaseRequest) Subtract(leasedRates map[string]float64) {
 	for name, rate := range leasedRates {
 		if r.Needs[name] -= rate; r.Needs[name] <= 0 {
 			delete(r.Needs, name)
@@ -97,7 +97,7 @@
 }
 
 // Needs returns the rates that this coordinator lacks beyond its own, by workspace.
-func (k *Keeper) Needs(now time.Duration) map[string]float64 {
+func (k *Coordinator) Needs(now time.Duration) map[string]float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	needs := map[string]float64{}
@@ -112,13 +112,13 @@
 	return needs
 }
 
-// Lend returns the part of the needed rates that this coordinator leases for a Term from
+// GrantLeases returns the part of the needed rates that this coordinator leases for a Term from
 // now on. It replaces the leases that it granted to that domain before.
-func (k *Keeper) Lend(now time.Duration, r LoanRequest) map[string]float64 {
+func (k *Coordinator) GrantLeases(now time.Duration, r LeaseRequest) map[string]float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	leasedRates := map[string]float64{}
-	if k.lastReportAt == 0 || now-k.lastReportAt > maxReportGap || now-k.startedAt < Term {
+	if k.lastReportAt == 0 || now-k.lastReportAt > maxReportGap || now-k.startedAt < LeaseDuration {
 		return leasedRates // the demand of its own daemons is not known
 	}
 	for name, need := range r.Needs {
@@ -128,21 +128,21 @@
 		}
 		spare := k.ownRate(name, now) - b.leasedOut.sum(now, r.Domain) - demandHeadroom*b.demand - minLeaseFraction*k.limits[name].Rate
 		if leasedRate := min(need, spare); leasedRate > 0 {
-			b.leasedOut = b.leasedOut.add(now, lease{r.Domain, leasedRate, now + Term})
+			b.leasedOut = b.leasedOut.add(now, lease{r.Domain, leasedRate, now + LeaseDuration})
 			leasedRates[name] = leasedRate
 		}
 	}
 	return leasedRates
 }
 
-// Borrow records what a domain's coordinator leased in answer to a request sent at
+// AddLeases records what a domain's coordinator leased in answer to a request sent at
 // requestedAt.
-func (k *Keeper) Borrow(now, requestedAt time.Duration, domain string, leasedRates map[string]float64) {
+func (k *Coordinator) AddLeases(now, requestedAt time.Duration, domain string, leasedRates map[string]float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for name, rate := range leasedRates {
 		if b := k.bucket(now, name); b != nil && rate > 0 {
-			b.leasedIn = b.leasedIn.add(now, lease{domain, rate, requestedAt + Term})
+			b.leasedIn = b.leasedIn.add(now, lease{domain, rate, requestedAt + LeaseDuration})
 		}
 	}
 }
--- a/internal/quota/share.go
+++ b/internal/quota/locallimiter.go
@@ -29,15 +29,15 @@
 const (
 	// Admitted: the call is within the limit.
 	Admitted Verdict = iota
-	// Ask: the call needs a grant from the coordinator.
-	Ask
+	// NeedsGrant: the call needs a grant from the coordinator.
+	NeedsGrant
 	// Denied: the call is beyond the limit.
 	Denied
 )
 
-// Share is one daemon's state of the limits: the last reply of its coordinator, and the
+// LocalLimiter is one daemon's state of the limits: the last reply of its coordinator, and the
 // calls that it has admitted. Safe for concurrent use.
-type Share struct {
+type LocalLimiter struct {
 	mu sync.Mutex
 	// answeredReportAt is when the newest report that got a reply was sent; zero: none
 	// has yet.
@@ -84,15 +84,15 @@
 // rateAverageSeconds is the time over which a daemon averages the calls that it admits.
 const rateAverageSeconds = 3.0
 
-// NewShare returns the share of a daemon that has had no reply from a coordinator yet.
-func NewShare() *Share {
-	return &Share{used: map[string]int{}, unacked: map[string]int{}, fallback: map[string]*fallbackBucket{}, rates: map[string]*rateAverage{}, deniedUntil: map[string]time.Duration{}}
+// NewLocalLimiter returns the share of a daemon that has had no reply from a coordinator yet.
+func NewLocalLimiter() *LocalLimiter {
+	return &LocalLimiter{used: map[string]int{}, unacked: map[string]int{}, fallback: map[string]*fallbackBucket{}, rates: map[string]*rateAverage{}, deniedUntil: map[string]time.Duration{}}
 }
 
 // Admit decides on a call. daemons is the number of daemons in the fleet: a daemon
 // without a valid reply uses its even share of the limit, since each of the others may do
 // the same. retryAfter is set for a call that is denied.
-func (s *Share) Admit(now time.Duration, workspace string, limit Limit, daemons int) (verdict Verdict, retryAfter time.Duration) {
+func (s *LocalLimiter) Admit(now time.Duration, workspace string, limit Limit, daemons int) (verdict Verdict, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.answeredReportAt == 0 || now-s.answeredReportAt > replyLifetime {
@@ -102,10 +102,10 @@
 		if now < s.deniedUntil[workspace] {
 			return Denied, s.retryAfter(workspace)
 		}
-		return Ask, 0
+		return NeedsGrant, 0
 	}
 	if float64(s.unacked[workspace]) >= minUnackedCalls+maxUnackedSeconds*limit.Rate {
-		return Ask, 0
+		return NeedsGrant, 0
 	}
 	s.unacked[workspace]++
 	s.recordAdmitted(now, workspace)
@@ -113,12 +113,12 @@
 }
 
 // recordAdmitted counts an admitted call that the coordinator has not counted yet.
-func (s *Share) recordAdmitted(now time.Duration, workspace string) {
+func (s *LocalLimiter) recordAdmitted(now time.Duration, workspace string) {
 	s.used[workspace]++
 	s.recordRate(now, workspace)
 }
 
-func (s *Share) recordRate(now time.Duration, workspace string) {
+func (s *LocalLimiter) recordRate(now time.Duration, workspace string) {
 	p := s.rates[workspace]
 	if p == nil {
 		p = &rateAverage{}
@@ -127,8 +127,8 @@
 	p.record(now)
 }
 
-// Granted records a call that the coordinator granted, and has therefore counted.
-func (s *Share) Granted(now time.Duration, workspace string) {
+// RecordGranted records a call that the coordinator granted, and has therefore counted.
+func (s *LocalLimiter) RecordGranted(now time.Duration, workspace string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recordRate(now, workspace)
@@ -137,7 +137,7 @@
 // admitFallback decides without a coordinator: calls are admitted at the rate at which
 // they were admitted while there was one, which the limit allowed, or at a part of the
 // even share if that is more.
-func (s *Share) admitFallback(now time.Duration, workspace string, limit Limit, daemons int) (Verdict, time.Duration) {
+func (s *LocalLimiter) admitFallback(now time.Duration, workspace string, limit Limit, daemons int) (Verdict, time.Duration) {
 	rate := fallbackFraction * limit.Rate / float64(max(1, daemons))
 	if p := s.rates[workspace]; p != nil {
 		rate = max(rate, p.rate)
@@ -161,14 +161,14 @@
 }
 
 // GiveBack removes a call that was admitted but did not run from the counts.
-func (s *Share) GiveBack(workspace string) {
+func (s *LocalLimiter) GiveBack(workspace string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.used[workspace]--
 }
 
-// HasWord reports whether a coordinator has ever replied.
-func (s *Share) HasWord() bool {
+// HasReply reports whether a coordinator has ever replied.
+func (s *LocalLimiter) HasReply() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.answeredReportAt > 0
@@ -179,14 +179,14 @@
 const idleReportInterval = 3 * replyLifetime / 5
 
 // Idle reports whether no report to the coordinator is due.
-func (s *Share) Idle(now time.Duration) bool {
+func (s *LocalLimiter) Idle(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.used) == 0 && s.answeredReportAt > 0 && now-s.answeredReportAt < idleReportInterval
 }
 
 // Report returns the next report to the coordinator and resets the counts in it.
-func (s *Share) Report() Report {
+func (s *LocalLimiter) Report() Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := Report{Used: s.used}
@@ -196,7 +196,7 @@
 
 // Restore puts back the counts of a report that got no reply. If the coordinator did
 // receive it, the calls are counted twice, which keeps them within the limit.
-func (s *Share) Restore(r Report) {
+func (s *LocalLimiter) Restore(r Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, n := range r.Used {
@@ -204,12 +204,12 @@
 	}
 }
 
-// Heard records a coordinator's reply to a report sent at requestedAt.
-func (s *Share) Heard(requestedAt time.Duration, r Reply) {
+// HandleReply records a coordinator's reply to a report sent at requestedAt.
+func (s *LocalLimiter) HandleReply(requestedAt time.Duration, r Reply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if requestedAt >= s.answeredReportAt {
-		s.answeredReportAt, s.retryAfterMS = requestedAt, r.Short
+		s.answeredReportAt, s.retryAfterMS = requestedAt, r.RetryAfterMS
 		clear(s.unacked)
 	}
 	clear(s.fallback)
@@ -220,16 +220,16 @@
 	}
 }
 
-// Deny records that the coordinator did not grant a call, and returns its retry-after
+// RecordDenied records that the coordinator did not grant a call, and returns its retry-after
 // time. Until the next report, further calls of the workspace are denied without a
 // request.
-func (s *Share) Deny(now time.Duration, workspace string) (retryAfter time.Duration) {
+func (s *LocalLimiter) RecordDenied(now time.Duration, workspace string) (retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deniedUntil[workspace] = now + minRetryAfter
 	return s.retryAfter(workspace)
 }
 
-func (s *Share) retryAfter(workspace string) time.Duration {
+func (s *LocalLimiter) retryAfter(workspace string) time.Duration {
 	return max(minRetryAfter, time.Duration(s.retryAfterMS[workspace])*time.Millisecond)
 }
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -43,8 +43,8 @@
 	maxCells = 4096
 )
 
-// Seen describes a call that an upstream has run.
-type Seen struct {
+// Call describes a call that an upstream has run.
+type Call struct {
 	Route string
 	// Upstream is the upstream's ID if it is a canary, else "".
 	Upstream string
@@ -60,7 +60,7 @@
 
 // Note counts a call. It counts each call to the new version and, for each of them, the next
 // few calls of the same route to other versions.
-func (e *Evidence) Note(call Seen) {
+func (e *Evidence) Note(call Call) {
 	cell := Cell{Route: Hash(call.Route), Target: call.Target, Moved: call.Moved}
 	if call.Upstream != "" {
 		cell.Upstream = Hash(call.Upstream)
@@ -71,7 +71,7 @@
 	key := controlKey{cell.Route, cell.Moved}
 	switch {
 	case call.Target:
-		e.controlsDue[key] += Controls
+		e.controlsDue[key] += ControlsPerCall
 	case e.controlsDue[key] > 0:
 		e.controlsDue[key]--
 	default:
@@ -83,7 +83,7 @@
 }
 
 // count returns the counts of one call, and updates the typical latency.
-func (e *Evidence) count(cell Cell, call Seen) Count {
+func (e *Evidence) count(cell Cell, call Call) Count {
 	if call.Failed {
 		return Count{N: 1, Failed: 1}
 	}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -67,40 +67,40 @@
 	return min(multiple*p.Exposure, float64(active)/float64(max(1, active+others)))
 }
 
-// Warm reports whether the warm-up is over at the given time after the order, so that slow
+// WarmedUp reports whether the warm-up is over at the given time after the order, so that slow
 // answers count as evidence.
-func (p Plan) Warm(elapsed time.Duration) bool {
+func (p Plan) WarmedUp(elapsed time.Duration) bool {
 	return elapsed >= min(time.Duration(warmUpFraction*float64(p.Duration)), maxWarmUp)
 }
 
-// MoveAt returns the time after the order at which all calls move to the new version.
-func (p Plan) MoveAt() time.Duration { return time.Duration(moveFrom * float64(p.Duration)) }
+// MoveAfter returns the time after the order at which all calls move to the new version.
+func (p Plan) MoveAfter() time.Duration { return time.Duration(moveFrom * float64(p.Duration)) }
 
-// CompleteAfter returns how long the calls may take to move.
-func (p Plan) CompleteAfter() time.Duration {
+// MoveTimeout returns how long the calls may take to move.
+func (p Plan) MoveTimeout() time.Duration {
 	return min(p.Settle, time.Duration(settleFraction*float64(p.Duration)))
 }
 
-// Choose returns the IDs of the canaries among the new version's upstreams. Daemons that
+// ChooseCanaries returns the IDs of the canaries among the new version's upstreams. Daemons that
 // know the same upstreams choose the same ones.
-func (p Plan) Choose(ids []string, others int) []string {
+func (p Plan) ChooseCanaries(ids []string, others int) []string {
 	list := slices.Clone(ids)
 	slices.SortFunc(list, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 	})
-	return list[:min(max(minCanaries, p.AtOnce(Canaries, others)), len(list))]
+	return list[:min(max(minCanaries, p.ActiveCanaries(Canaries, others)), len(list))]
 }
 
-// AtOnce returns the number of canaries that get calls at the same time: as few as can take
+// ActiveCanaries returns the number of canaries that get calls at the same time: as few as can take
 // the largest share at the load of an upstream of another version, so that they are tested
 // under that load.
-func (p Plan) AtOnce(canaries, others int) int {
+func (p Plan) ActiveCanaries(canaries, others int) int {
 	return min(canaries, max(1, int(math.Ceil(loadShare*p.Exposure*float64(others)))))
 }
 
-// Turn returns the index of the first active canary at the given time after the order. If
+// FirstActive returns the index of the first active canary at the given time after the order. If
 // fewer than all canaries are active, they take turns.
-func (p Plan) Turn(elapsed time.Duration, canaries int) int {
+func (p Plan) FirstActive(elapsed time.Duration, canaries int) int {
 	step := float64(canaries) * float64(elapsed) / ((loadUntil - initialUntil) * float64(p.Duration))
 	return int(step) % max(1, canaries)
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -99,8 +99,8 @@
 	return r
 }
 
-// To returns the record advanced to a later phase.
-func (r Record) To(p Phase, why string) Record {
+// WithPhase returns the record advanced to a later phase.
+func (r Record) WithPhase(p Phase, why string) Record {
 	r.Phase, r.Why = p, why
 	if p == Reverted && !slices.Contains(r.Barred, r.Target) {
 		r.Barred = append(slices.Clone(r.Barred), r.Target)
