--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -31,12 +31,12 @@
 	v2 := Order{ID: 1, Service: "s", Target: "v2", Duration: time.Second}
 	v3 := Order{ID: 2, Service: "s", Target: "v3", Duration: time.Second}
 	again := Order{ID: 3, Service: "s", Target: "v2", Duration: time.Second}
-	reverted := v2.Begin(Record{}, time.Now()).To(Reverted, "bad")
+	reverted := v2.Begin(Record{}, time.Now()).WithPhase(Reverted, "bad")
 	is.Equal(reverted.Barred, []string{"v2"})
 	next := v3.Begin(reverted, time.Now())
 	is.Equal(next.Barred, []string{"v2"})
 	is.Equal(again.Begin(next, time.Now()).Barred, []string{"v3"}) // replaced before it was completed
-	completed := next.To(Completed, "")
+	completed := next.WithPhase(Completed, "")
 	is.Equal(again.Begin(completed, time.Now()).Barred, nil)
 }
 
@@ -80,15 +80,15 @@
 		for i := range target {
 			target[i] = fmt.Sprint("u", i)
 		}
-		canaries := p.Choose(target, others)
+		canaries := p.ChooseCanaries(target, others)
 		const steps = 1000
 		exposed := 0.0
 		for i := range steps {
 			at := p.Duration * time.Duration(i) / steps
-			if at >= p.MoveAt() {
+			if at >= p.MoveAfter() {
 				break
 			}
-			active := p.AtOnce(len(canaries), others)
+			active := p.ActiveCanaries(len(canaries), others)
 			share := p.Share(at, active, others)
 			exposed += share / steps
 			if each := share / float64(active); each > 1/float64(others)+1e-9 {
@@ -184,7 +184,7 @@
 	for i := range ids {
 		ids[i] = fmt.Sprint("u", i)
 	}
-	canaries := p.Choose(ids, s.others)
+	canaries := p.ChooseCanaries(ids, s.others)
 	randomFault := func() fault {
 		if rng.Float64() >= s.faultyFraction {
 			return fault{}
@@ -210,14 +210,14 @@
 	exposed, total, share := 0, 0, 0.0
 	controls := make([]int, len(s.routes))
 	const step = 200 * time.Millisecond
-	end := p.MoveAt() + p.CompleteAfter()
+	end := p.MoveAfter() + p.MoveTimeout()
 	for at := time.Duration(0); at < end; at += step {
 		progress := float64(at) / float64(s.duration)
 		stepTally := Tally{}
 		share = 1
 		active := canaries
-		if at < p.MoveAt() {
-			first, n := p.Turn(at, len(canaries)), p.AtOnce(len(canaries), s.others)
+		if at < p.MoveAfter() {
+			first, n := p.FirstActive(at, len(canaries)), p.ActiveCanaries(len(canaries), s.others)
 			active = slices.Concat(canaries, canaries)[first : first+n]
 			share = p.Share(at, n, s.others)
 		}
@@ -237,8 +237,8 @@
 				exposed++
 				i := slices.Index(canaries, active[rng.IntN(len(active))])
 				f = canaryFaults[i]
-				cell.Target, cell.Upstream, cell.Moved = true, Hash(canaries[i]), at >= p.MoveAt()
-				controls[route] += Controls
+				cell.Target, cell.Upstream, cell.Moved = true, Hash(canaries[i]), at >= p.MoveAfter()
+				controls[route] += ControlsPerCall
 				load := share / float64(len(active)) * float64(s.others)
 				if progress >= s.bad.from && load >= s.bad.load && (s.bad.route < 0 || s.bad.route == route) && rng.Float64() < s.bad.probability {
 					if s.bad.latencyFactor > 0 {
@@ -261,7 +261,7 @@
 			n := Count{N: 1}
 			if rng.Float64() < failureRate {
 				n.Failed = 1
-			} else if p.Warm(at) {
+			} else if p.WarmedUp(at) {
 				n.Timed = 1
 				if rng.Float64() < slowRate {
 					n.Slow = 1
--- a/internal/rollout/tally.go
+++ b/internal/rollout/tally.go
@@ -95,10 +95,10 @@
 func isUint32(n int) bool { return n >= 0 && n <= math.MaxUint32 }
 
 const (
-	// Controls is how many of the next calls of a route to other versions are counted for
+	// ControlsPerCall is how many of the next calls of a route to other versions are counted for
 	// each call to the new version. Events that affect both at the same time and daemon
 	// then have the same weight in both counts.
-	Controls = 4
+	ControlsPerCall = 4
 	// maxRoutes is the number of routes of a service that are counted separately.
 	maxRoutes = 6
 	// maxRows bounds the rows of a report: each route has one cell per canary and one for
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -79,14 +79,14 @@
 			return &invalidSetting{a.key, "must be IP:port, is " + a.addr}
 		}
 	}
-	if !Loopback(s.Listen.Local) {
+	if !IsLoopback(s.Listen.Local) {
 		return &invalidSetting{"listen.local", "must be a loopback address"}
 	}
 	return nil
 }
 
-// Loopback reports whether an IP:port has a loopback address.
-func Loopback(addr string) bool {
+// IsLoopback reports whether an IP:port has a loopback address.
+func IsLoopback(addr string) bool {
 	host, _, err := net.SplitHostPort(addr)
 	ip := net.ParseIP(host)
 	return err == nil && ip != nil && ip.IsLoopback()
@@ -171,7 +171,7 @@
 		return &invalidSetting{"calls.link_mbps", "must be between 0 and 1000000"}
 	case s.GCPercent < 10 || s.GCPercent > 10_000:
 		return &invalidSetting{"gc_percent", "must be between 10 and 10000"}
-	case s.Events < 16:
+	case s.MaxEvents < 16:
 		return &invalidSetting{"events", "must be at least 16"}
 	}
 	return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -43,8 +43,8 @@
 	// the 99th percentile of the latency; 100 needs half of the memory and a seventh more
 	// processor time. Default: 400.
 	GCPercent int `yaml:"gc_percent"`
-	// Events is how many events are kept for the timeline. Default: 4096.
-	Events int `yaml:"events"`
+	// MaxEvents is how many events are kept for the timeline. Default: 4096.
+	MaxEvents int `yaml:"events"`
 }
 
 // Listen holds the addresses of the listeners, as IP:port. Port 0 selects a free port.
@@ -130,7 +130,7 @@
 
 // Tolerance returns by how much the limits of workspaces may be exceeded.
 func (b Bounds) Tolerance() quota.Tolerance {
-	return quota.Tolerance{Window: time.Duration(b.LimitWindow), Part: b.LimitPart, Calls: b.LimitCalls}
+	return quota.Tolerance{Window: time.Duration(b.LimitWindow), Fraction: b.LimitPart, Calls: b.LimitCalls}
 }
 
 // Control configures the distribution of configuration and membership.
@@ -259,7 +259,7 @@
 			Drain: Duration(2500 * time.Millisecond),
 		},
 		Logging: "info", GCPercent: 400,
-		Events: 4096,
+		MaxEvents: 4096,
 	}
 }
 
--- a/internal/suspect/recent.go
+++ b/internal/suspect/recent.go
@@ -52,9 +52,9 @@
 	return known
 }
 
-// Excuse reports whether a request is exempt from suspicion for one crash: it was answered
-// recently, and Excuse has not returned true for it since its last answer.
-func (r *Recent) Excuse(d Digest) bool {
+// ExemptOnce reports whether a request is exempt from suspicion for one crash: it was answered
+// recently, and ExemptOnce has not returned true for it since its last answer.
+func (r *Recent) ExemptOnce(d Digest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	exempted, known := r.lookup(d)
--- a/internal/suspect/recent_test.go
+++ b/internal/suspect/recent_test.go
@@ -13,18 +13,18 @@
 	r := NewRecent(c.now)
 	r.Add(1)
 	r.Add(2)
-	is.True(r.Excuse(1))
-	is.True(!r.Excuse(1)) // only once per answer
+	is.True(r.ExemptOnce(1))
+	is.True(!r.ExemptOnce(1)) // only once per answer
 	is.True(r.Has(1))
 	r.Add(1)
-	is.True(r.Excuse(1)) // again after another answer
+	is.True(r.ExemptOnce(1)) // again after another answer
 	c.at = c.at.Add(recentWindow)
 	r.Add(3)
-	is.True(r.Excuse(2))
-	is.True(!r.Excuse(2))
+	is.True(r.ExemptOnce(2))
+	is.True(!r.ExemptOnce(2))
 	r.Add(4)
 	c.at = c.at.Add(2 * recentWindow)
-	is.True(!r.Excuse(4))
+	is.True(!r.ExemptOnce(4))
 	is.True(!r.Has(4))
 	for i := range 3 * maxRecent {
 		r.Add(Digest(i + 10))
--- a/internal/suspect/table.go
+++ b/internal/suspect/table.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Most is the largest number of records in a table: enough for the requests running at 60
+// MaxRecords is the largest number of records in a table: enough for the requests running at 60
 // upstreams of 16 slots that crash at once. A full table evicts cleared records first,
 // then those with the fewest crashes; of equals it evicts the oldest. It takes 0.1 MB of
 // memory.
-const Most = 1024
+const MaxRecords = 1024
 
 // sweepInterval is the interval at which expired records are removed.
 const sweepInterval = time.Minute
@@ -60,12 +60,12 @@
 // not returned yet.
 func (t *Table) Changed() <-chan struct{} { return t.changed }
 
-// Ends returns the number of crashes that the request is suspected of, at most Enough.
-func (t *Table) Ends(d Digest) int {
+// CrashCount returns the number of crashes that the request is suspected of, at most Enough.
+func (t *Table) CrashCount(d Digest) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.rows[d]; r != nil {
-		return len(r.Ends)
+		return len(r.Crashes)
 	}
 	return 0
 }
@@ -80,11 +80,11 @@
 	return Record{}, false
 }
 
-// Charge records that an upstream crashed while it ran the request.
-func (t *Table) Charge(d Digest, e End) Record {
+// RecordCrash records that an upstream crashed while it ran the request.
+func (t *Table) RecordCrash(d Digest, e CrashID) Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	rec := Record{Digest: d, Ends: []End{e}, At: t.now().UnixMilli()}
+	rec := Record{Digest: d, Crashes: []CrashID{e}, At: t.now().UnixMilli()}
 	if r := t.rows[d]; r != nil {
 		rec.Round = r.Round
 	}
@@ -100,8 +100,8 @@
 	return t.clear(d, false)
 }
 
-// Vouch clears a request without an answer. It reports whether the request was a suspect.
-func (t *Table) Vouch(d Digest) bool {
+// ClearUnanswered clears a request without an answer. It reports whether the request was a suspect.
+func (t *Table) ClearUnanswered(d Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.clear(d, true)
@@ -109,10 +109,10 @@
 
 func (t *Table) clear(d Digest, vouched bool) bool {
 	r := t.rows[d]
-	if r == nil || len(r.Ends) == 0 {
+	if r == nil || len(r.Crashes) == 0 {
 		return false
 	}
-	return t.merge(Record{Digest: d, Round: r.Round + 1, Vouched: vouched, At: t.now().UnixMilli()})
+	return t.merge(Record{Digest: d, Round: r.Round + 1, ClearedUnanswered: vouched, At: t.now().UnixMilli()})
 }
 
 // Merge merges a record from another daemon. It reports whether that changed the table.
@@ -141,7 +141,7 @@
 		return false
 	}
 	next := r.merged(o)
-	t.updateSuspected(len(r.Ends), len(next.Ends))
+	t.updateSuspected(len(r.Crashes), len(next.Crashes))
 	r.Record = next
 	if !r.pending {
 		r.pending = true
@@ -161,7 +161,7 @@
 }
 
 func (t *Table) drop(r *row) {
-	t.updateSuspected(len(r.Ends), 0)
+	t.updateSuspected(len(r.Crashes), 0)
 	if r.pending {
 		t.pendingCount--
 	}
@@ -182,12 +182,12 @@
 }
 
 func (t *Table) evict() {
-	if len(t.rows) < Most {
+	if len(t.rows) < MaxRecords {
 		return
 	}
 	var victim *row
 	for _, r := range t.rows {
-		if victim == nil || cmp.Or(cmp.Compare(len(r.Ends), len(victim.Ends)), cmp.Compare(r.At, victim.At)) < 0 {
+		if victim == nil || cmp.Or(cmp.Compare(len(r.Crashes), len(victim.Crashes)), cmp.Compare(r.At, victim.At)) < 0 {
 			victim = r
 		}
 	}
@@ -206,7 +206,7 @@
 	for _, r := range t.rows {
 		if r.pending {
 			out = append(out, Change{Record: r.Record, Before: r.reportedEnds})
-			r.reportedEnds, r.pending = len(r.Ends), false
+			r.reportedEnds, r.pending = len(r.Crashes), false
 		}
 	}
 	slices.SortFunc(out, func(a, b Change) int { return cmp.Compare(a.Digest, b.Digest) })
--- a/internal/suspect/table_test.go
+++ b/internal/suspect/table_test.go
@@ -21,18 +21,18 @@
 	is := is.New(t)
 	tab := NewTable(newClock().now)
 	is.True(!tab.Any())
-	for _, e := range []End{1, 1, 2} { // a crash counts once, however many copies of the request ran there
-		tab.Charge(7, e)
+	for _, e := range []CrashID{1, 1, 2} { // a crash counts once, however many copies of the request ran there
+		tab.RecordCrash(7, e)
 	}
-	is.Equal(tab.Ends(7), 2)
+	is.Equal(tab.CrashCount(7), 2)
 	is.True(tab.Answered(7))
-	is.Equal(tab.Ends(7), 0)
+	is.Equal(tab.CrashCount(7), 0)
 	is.True(!tab.Any())
 	is.True(!tab.Answered(7)) // nothing to clear
-	for _, e := range []End{3, 4} {
-		is.True(!tab.Charge(7, e).Quarantined()) // crashes before the answer do not count
+	for _, e := range []CrashID{3, 4} {
+		is.True(!tab.RecordCrash(7, e).Quarantined()) // crashes before the answer do not count
 	}
-	is.True(tab.Charge(7, 5).Quarantined())
+	is.True(tab.RecordCrash(7, 5).Quarantined())
 	is.True(tab.Any())
 }
 
@@ -48,11 +48,11 @@
 			d := Digest(rapid.IntRange(1, 3).Draw(rt, "digest"))
 			switch rapid.IntRange(0, 3).Draw(rt, "op") {
 			case 0:
-				tab.Charge(d, End(rapid.IntRange(1, 6).Draw(rt, "end")))
+				tab.RecordCrash(d, CrashID(rapid.IntRange(1, 6).Draw(rt, "end")))
 			case 1:
 				tab.Answered(d)
 			case 2:
-				tab.Vouch(d)
+				tab.ClearUnanswered(d)
 			default:
 				mergeAll(tab, tabs[rapid.IntRange(0, 2).Draw(rt, "from")])
 			}
@@ -69,7 +69,7 @@
 			}
 		}
 		for _, tab := range tabs {
-			if suspected := slices.ContainsFunc(tab.Records(), func(r Record) bool { return len(r.Ends) > 0 }); suspected != tab.Any() {
+			if suspected := slices.ContainsFunc(tab.Records(), func(r Record) bool { return len(r.Crashes) > 0 }); suspected != tab.Any() {
 				rt.Fatalf("Any differs from suspects present (%v) in records %v", suspected, tab.Records())
 			}
 		}
@@ -89,28 +89,28 @@
 	is := is.New(t)
 	c := newClock()
 	tab := NewTable(c.now)
-	tab.Charge(1, 1)
-	tab.Charge(1, 2)
-	for i := range 5 * Most {
+	tab.RecordCrash(1, 1)
+	tab.RecordCrash(1, 2)
+	for i := range 5 * MaxRecords {
 		c.at = c.at.Add(time.Millisecond)
-		tab.Charge(Digest(i+2), 3)
+		tab.RecordCrash(Digest(i+2), 3)
 	}
-	is.Equal(len(tab.Records()), Most)
-	is.Equal(tab.Ends(1), 2)
-	is.Equal(int(tab.suspected.Load()), Most)
+	is.Equal(len(tab.Records()), MaxRecords)
+	is.Equal(tab.CrashCount(1), 2)
+	is.Equal(int(tab.suspected.Load()), MaxRecords)
 }
 
 func TestExpiredRecordsAreDroppedAndNotMerged(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
 	tab := NewTable(c.now)
-	old := tab.Charge(1, 1)
-	c.at = c.at.Add(Keep + time.Second)
+	old := tab.RecordCrash(1, 1)
+	c.at = c.at.Add(Retention + time.Second)
 	is.True(!tab.Merge(old)) // another daemon's copy does not restore it
-	tab.Charge(2, 1)
-	is.Equal(tab.Ends(1), 0)
+	tab.RecordCrash(2, 1)
+	is.Equal(tab.CrashCount(1), 0)
 	is.Equal(len(tab.Records()), 1)
-	is.True(tab.Merge(Record{Digest: 3, Ends: []End{1}, At: c.at.Add(2 * Keep).UnixMilli()}))
+	is.True(tab.Merge(Record{Digest: 3, Crashes: []CrashID{1}, At: c.at.Add(2 * Retention).UnixMilli()}))
 	r, _ := tab.Record(3)
 	is.Equal(r.At, c.at.UnixMilli()) // a clock that runs ahead does not prolong the retention
 }
@@ -120,20 +120,20 @@
 	c := newClock()
 	tab := NewTable(c.now)
 	is.True(!tab.Merge(Record{}))
-	is.True(!tab.Merge(Record{Digest: 1, Ends: []End{1, 2, 3, 4}, At: c.at.UnixMilli()}))
+	is.True(!tab.Merge(Record{Digest: 1, Crashes: []CrashID{1, 2, 3, 4}, At: c.at.UnixMilli()}))
 	is.Equal(len(tab.Records()), 0)
 }
 
 func TestChangesReturnsEachChangeOnce(t *testing.T) {
 	is := is.New(t)
 	tab := NewTable(newClock().now)
-	tab.Charge(1, 1)
-	tab.Charge(1, 2)
+	tab.RecordCrash(1, 1)
+	tab.RecordCrash(1, 2)
 	<-tab.Changed()
 	changes := tab.Changes()
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].Before, 0)
-	is.Equal(len(changes[0].Ends), 2)
+	is.Equal(len(changes[0].Crashes), 2)
 	is.Equal(len(tab.Changes()), 0)
 	tab.Answered(1)
 	is.Equal(tab.Changes()[0].Before, 2)
@@ -147,13 +147,13 @@
 	lookup := func(b *testing.B) {
 		for b.Loop() {
 			if tab.Any() {
-				tab.Ends(Of("clerk", "GET", "a.example", "/tickets/42", "", body))
+				tab.CrashCount(Of("clerk", "GET", "a.example", "/tickets/42", "", body))
 			}
 		}
 	}
 	b.Run("none", lookup)
-	for i := range Most {
-		tab.Charge(Digest(i+1), End(i))
+	for i := range MaxRecords {
+		tab.RecordCrash(Digest(i+1), CrashID(i))
 	}
 	b.Run("full", lookup)
 }
@@ -164,9 +164,9 @@
 	c := newClock()
 	before := heapInUse()
 	tab, recent := NewTable(c.now), NewRecent(c.now)
-	for d := range Digest(2 * Most) {
-		for e := range End(Enough) {
-			tab.Charge(d+1, End(d)*10+e)
+	for d := range Digest(2 * MaxRecords) {
+		for e := range CrashID(QuarantineThreshold) {
+			tab.RecordCrash(d+1, CrashID(d)*10+e)
 		}
 	}
 	withTable := heapInUse()
--- a/internal/system/config.go
+++ b/internal/system/config.go
@@ -89,7 +89,7 @@
 	// SnapshotNext is the next send slot. Unused slots expire after a second, so that a
 	// burst has at most one second's worth of snapshots. A refused pull takes a slot too:
 	// its retry-after time is when that slot is due.
-	c.SnapshotNext = later(c.SnapshotNext, now.Add(-time.Second)).Add(gap)
+	c.SnapshotNext = latestTime(c.SnapshotNext, now.Add(-time.Second)).Add(gap)
 	if wait := c.SnapshotNext.Sub(now); wait > 0 {
 		out.send(l.ID, wire.Busy{RetryAfterMs: wait.Milliseconds() + 1})
 		return
@@ -260,9 +260,9 @@
 		w.Ready = caughtUp(w, now)
 		w.ViewDirty = w.ViewDirty || w.Ready
 	}
-	if w.Ready && w.Self.Beat.Applied != version {
-		w.Self.Beat.Applied = version
-		w.Self.Beat.N++
+	if w.Ready && w.Self.Heartbeat.Applied != version {
+		w.Self.Heartbeat.Applied = version
+		w.Self.Heartbeat.Seq++
 		queueRenewal(w, now, w.Self.ID, 0)
 		out.event(event.Event{Kind: event.Applied, Version: version})
 	}
--- a/internal/system/seek.go
+++ b/internal/system/discovery.go
@@ -12,14 +12,14 @@
 	probeDuration = 5 * time.Second
 	// seedRetry is the mean interval of attempts to find other daemons.
 	seedRetry = time.Second
-	// findFirst is the initial interval at which the log is read again for addresses,
+	// minFindInterval is the initial interval at which the log is read again for addresses,
 	// after the first connection. Daemons that started at the same time have published
 	// their addresses by then.
-	findFirst = 2 * time.Second
-	// settleGraces is the number of grace times after its start that a daemon waits
+	minFindInterval = 2 * time.Second
+	// settledAfterGraces is the number of grace times after its start that a daemon waits
 	// before it probes seeds that it does not know as members. While the whole fleet
 	// starts, the seeds are busy.
-	settleGraces = 2
+	settledAfterGraces = 2
 	// maxFindInterval bounds the interval at which the log is read for addresses while
 	// other daemons are known.
 	maxFindInterval = 5 * time.Minute
@@ -59,7 +59,7 @@
 	w.NextSeed = now.Add(seedRetry/2 + time.Duration(w.Rand.Int64N(int64(seedRetry))))
 	findSeeds(w, now, out)
 	if len(w.Links) > 0 {
-		if now.Sub(w.Started) >= settleGraces*w.Params.Grace {
+		if now.Sub(w.Started) >= settledAfterGraces*w.Params.Grace {
 			probeSeed(w, now, out)
 		}
 		return
@@ -95,7 +95,7 @@
 	if !w.SeedsFound && len(w.Links) == 0 {
 		return
 	}
-	w.FindEvery = min(max(2*w.FindEvery, findFirst), maxFindInterval)
+	w.FindEvery = min(max(2*w.FindEvery, minFindInterval), maxFindInterval)
 	w.NextFind = now.Add(w.FindEvery/2 + time.Duration(w.Rand.Int64N(int64(w.FindEvery))))
 }
 
--- a/internal/system/seek_test.go
+++ b/internal/system/discovery_test.go
@@ -34,7 +34,7 @@
 		is := is.New(t)
 		w := documentWorld()
 		w.SeedsFound = true
-		w.FindEvery = findFirst
+		w.FindEvery = minFindInterval
 		w.Links[1] = &table.Link{ID: 1, Peer: "p"}
 		w.MembersTree.Rank = c.rank
 		var out Outbox
@@ -53,13 +53,13 @@
 	w := documentWorld()
 	w.Params.InForce = inForce
 	w.MembersTree = table.Tree{Rank: 1, Parent: "first"}
-	is.True(documentWait(w) < inForce) // also for a read that is waiting when the parent is lost
+	is.True(documentReadWait(w) < inForce) // also for a read that is waiting when the parent is lost
 	first := documentWorld()
 	first.Params.InForce = inForce
 	first.MembersTree = table.Tree{Root: true}
 	w.MembersTree.Parent = ""
-	is.Equal(documentWait(w), documentWait(first))
-	is.True(documentWait(first) < inForce/2) // leaves time to distribute a change that a read missed
+	is.Equal(documentReadWait(w), documentReadWait(first))
+	is.True(documentReadWait(first) < inForce/2) // leaves time to distribute a change that a read missed
 }
 
 // TestReadWaitFollowsInForceBound guards against needless calls to the store: the time in
@@ -69,9 +69,9 @@
 	is := is.New(t)
 	w := documentWorld()
 	w.Params.InForce = 15 * time.Second
-	is.Equal(documentWait(w), 6750*time.Millisecond)
+	is.Equal(documentReadWait(w), 6750*time.Millisecond)
 	w.Params.InForce = time.Hour
-	is.Equal(documentWait(w), longestWait)
+	is.Equal(documentReadWait(w), maxDocumentWait)
 }
 
 // TestOnlyChangedAddressesArePublished guards against needless calls to the store: most
@@ -87,9 +87,9 @@
 		{"not heard yet", nil, 0, false},
 		{"there", []Input{SelfListed{Listed: true}}, 0, false},
 		{"there, and asked again", []Input{SelfListed{Listed: true}, SelfListed{Listed: true}}, 0, false},
-		{"there, later", []Input{SelfListed{Listed: true}}, 2 * lookTime, false},
+		{"there, later", []Input{SelfListed{Listed: true}}, 2 * listedTimeout, false},
 		{"not there, so it looks again", []Input{SelfListed{}}, 0, false},
-		{"the log says nothing", nil, lookTime, true},
+		{"the log says nothing", nil, listedTimeout, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -110,8 +110,8 @@
 		second []Input
 		want   bool
 	}{
-		{"few others are there", []Input{SelfListed{Others: enoughListed - 1}}, true},
-		{"enough others are there", []Input{SelfListed{Others: enoughListed}}, false},
+		{"few others are there", []Input{SelfListed{Others: listedThreshold - 1}}, true},
+		{"enough others are there", []Input{SelfListed{Others: listedThreshold}}, false},
 		{"the log says nothing", nil, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -124,18 +124,18 @@
 			w.Params.Roots = 1
 			now := w.Started
 			Tick(w, now, []Input{SelfListed{}})
-			now = now.Add(lookSpread)
+			now = now.Add(recheckSpread)
 			looked := Tick(w, now, nil)
 			is.True(looked.FindSeeds && !looked.PublishSelf)
 			published := Tick(w, now, c.second).PublishSelf
 			if c.second == nil {
-				published = published || Tick(w, now.Add(lookTime), nil).PublishSelf
+				published = published || Tick(w, now.Add(listedTimeout), nil).PublishSelf
 			}
 			is.Equal(published, c.want)
 			if c.want {
 				return
 			}
-			now = now.Add(settleGraces * w.Params.Grace)
+			now = now.Add(settledAfterGraces * w.Params.Grace)
 			w.Links[1].HeardAt, w.Links[1].EchoAt = now, now
 			is.True(!Tick(w, now, nil).PublishSelf)
 			delete(w.Members, "first") // without it, this daemon reads the log
--- a/internal/system/document.go
+++ b/internal/system/document.go
@@ -19,8 +19,8 @@
 type DocumentRead struct {
 	Document config.Document
 	Err      error
-	// Asked is the boot time at which the read began, or zero if it was not recorded.
-	Asked time.Duration
+	// StartedAt is the boot time at which the read began, or zero if it was not recorded.
+	StartedAt time.Duration
 }
 
 // maxDeltas is the number of deltas between successive versions that are kept, so that
@@ -38,17 +38,17 @@
 	// the first one. If they lose the first root, a read that is already waiting must end
 	// before the time allowed for a change.
 	otherRootWaitFraction = 0.8
-	// longestWait bounds the wait of one read at the store, which has a timeout of its
+	// maxDocumentWait bounds the wait of one read at the store, which has a timeout of its
 	// own.
-	longestWait = 20 * time.Second
+	maxDocumentWait = 20 * time.Second
 )
 
-// documentWait returns how long a read for documents waits.
-func documentWait(w *table.World) time.Duration {
+// documentReadWait returns how long a read for documents waits.
+func documentReadWait(w *table.World) time.Duration {
 	if w.MembersTree.Parent != "" {
-		return min(time.Duration(otherRootWaitFraction*float64(w.Params.InForce)), longestWait)
+		return min(time.Duration(otherRootWaitFraction*float64(w.Params.InForce)), maxDocumentWait)
 	}
-	wait := min(time.Duration(firstRootWaitFraction*float64(w.Params.InForce)), longestWait)
+	wait := min(time.Duration(firstRootWaitFraction*float64(w.Params.InForce)), maxDocumentWait)
 	if w.Params.Revoke > 0 {
 		wait = min(wait, w.Params.Revoke/readsPerRevocationBound)
 	}
@@ -73,7 +73,7 @@
 		return
 	}
 	if applyDocument(w, now, r.Document, out) {
-		confirmFromStore(w, r.Asked)
+		confirmFromStore(w, r.StartedAt)
 	}
 }
 
@@ -93,7 +93,7 @@
 	d.Normalize()
 	outcome := "already held"
 	if d.Version > current.Version {
-		next, delta, err := d.Follow(current)
+		next, delta, err := d.ApplyTo(current)
 		if err != nil {
 			refuseDocument(w, d.Version, err, out)
 			return false
@@ -145,8 +145,8 @@
 func installDocument(w *table.World, now time.Time, next *config.State, d config.Delta, out *Outbox) {
 	c := &w.Config
 	if c.State.Version > 0 {
-		c.Past = append(c.Past, table.Step{From: c.State.Version, Delta: d})
-		c.Past = c.Past[max(0, len(c.Past)-maxDeltas):]
+		c.Deltas = append(c.Deltas, table.Step{From: c.State.Version, Delta: d})
+		c.Deltas = c.Deltas[max(0, len(c.Deltas)-maxDeltas):]
 	}
 	install(w, now, next, nil, out)
 }
@@ -154,14 +154,14 @@
 // delta returns the difference between a version and the one held, if all deltas since
 // that version are still kept.
 func delta(w *table.World, version uint64) (wire.Delta, bool) {
-	past := w.Config.Past
+	past := w.Config.Deltas
 	i := slices.IndexFunc(past, func(s table.Step) bool { return s.From == version })
 	if i < 0 {
 		return wire.Delta{}, false
 	}
 	d := past[i].Delta
 	for _, s := range past[i+1:] {
-		d = d.Then(s.Delta)
+		d = d.Compose(s.Delta)
 	}
 	return wire.Delta{From: version, Version: w.Config.State.Version, Hash: w.Config.State.Hash, Delta: d}, true
 }
@@ -180,7 +180,7 @@
 		pullConfig(w, now, l, out)
 		return
 	}
-	next, err := s.After(d.Delta, d.Version, d.Hash)
+	next, err := s.ApplyDelta(d.Delta, d.Version, d.Hash)
 	if err != nil {
 		out.event(event.Event{Kind: event.DeltaRefused, Peer: l.Peer, Version: d.Version, Detail: err.Error()})
 		sendPull(w, now, l, true, out)
--- a/internal/system/document_test.go
+++ b/internal/system/document_test.go
@@ -107,7 +107,7 @@
 	announceUpstream := func(id string, sequence uint64, draining bool) {
 		Tick(w, at, []Input{Announced{Local: table.Local{
 			Upstream: wire.Upstream{ID: id, Service: "s", Slots: 4, Draining: draining},
-			Name:     id, Life: id, Process: id, Addr: "a:1", Sequence: sequence,
+			Name:     id, Incarnation: id, Process: id, Addr: "a:1", Sequence: sequence,
 		}}})
 	}
 	announceUpstream("one", 4, false)
@@ -133,19 +133,19 @@
 	var out Outbox
 	old := wire.Member{ID: "old", Domain: "d", Peer: "p:1", Owner: "o:1", Incarnation: 10, Seq: 1}
 	other := wire.Member{ID: "other", Domain: "d", Peer: "p:2", Owner: "o:2", Incarnation: 11, Seq: 1}
-	mergeMembers(w, at, 0, wire.Members{Full: []wire.Member{old, other}}, &out)
+	mergeMembers(w, at, 0, wire.Members{Records: []wire.Member{old, other}}, &out)
 	is.True(!w.Members["old"].Lapsed)
-	mergeMembers(w, at, 0, wire.Members{Full: []wire.Member{
+	mergeMembers(w, at, 0, wire.Members{Records: []wire.Member{
 		{ID: "new", Domain: "d", Peer: "p:1", Owner: "o:1", Incarnation: 20, Seq: 1},
 	}}, &out)
 	is.True(w.Members["old"].Lapsed)
 	is.True(!w.Members["new"].Lapsed)
 	is.True(!w.Members["other"].Lapsed)
-	old.Beat.N = 9 // a delayed heartbeat does not revive it
+	old.Heartbeat.Seq = 9 // a delayed heartbeat does not revive it
 	old.Seq = 2
-	mergeMembers(w, at, 0, wire.Members{Full: []wire.Member{old}}, &out)
+	mergeMembers(w, at, 0, wire.Members{Records: []wire.Member{old}}, &out)
 	is.True(w.Members["old"].Lapsed)
-	mergeMembers(w, at, 0, wire.Members{Beats: []wire.BeatOf{{ID: "old", Incarnation: 10, Beat: wire.Beat{N: 12}}}}, &out)
+	mergeMembers(w, at, 0, wire.Members{Heartbeats: []wire.MemberHeartbeat{{ID: "old", Incarnation: 10, Heartbeat: wire.Heartbeat{Seq: 12}}}}, &out)
 	is.True(w.Members["old"].Lapsed)
 }
 
@@ -158,7 +158,7 @@
 	w.Links[1] = &table.Link{ID: 1, Peer: "p", HeardAt: at, EchoAt: at}
 	receiveRecord := func(id, owner string, incarnation uint64) {
 		rec := wire.Member{ID: id, Domain: "d", Peer: owner, Owner: owner, Incarnation: incarnation, Seq: 1}
-		Tick(w, at, []Input{Received{Link: 1, Message: wire.Members{Full: []wire.Member{rec}}}})
+		Tick(w, at, []Input{Received{Link: 1, Message: wire.Members{Records: []wire.Member{rec}}}})
 	}
 	receiveRecord("a", "x:1", 10)
 	receiveRecord("a", "y:1", 20)
--- a/internal/system/documents_test.go
+++ b/internal/system/documents_test.go
@@ -64,7 +64,7 @@
 		return
 	}
 	waited := n.now.Sub(r.started)
-	answer := DocumentRead{Asked: r.startedBoot}
+	answer := DocumentRead{StartedAt: r.startedBoot}
 	switch {
 	case n.storeUnreachable[node.domain]:
 		if waited < readTimeout {
--- a/internal/system/freshness.go
+++ b/internal/system/freshness.go
@@ -30,26 +30,26 @@
 // the store began.
 func confirmFromStore(w *table.World, asked time.Duration) {
 	if asked > 0 {
-		advanceTimestamp(w, freshness.Stamp(asked), 0)
+		advanceTimestamp(w, freshness.Timestamp(asked), 0)
 	}
 }
 
-func advanceTimestamp(w *table.World, s freshness.Stamp, from table.LinkID) {
-	if s > w.Fresh.Stamp {
-		w.Fresh.Stamp, w.Fresh.From = s, from
+func advanceTimestamp(w *table.World, s freshness.Timestamp, from table.LinkID) {
+	if s > w.Fresh.Timestamp {
+		w.Fresh.Timestamp, w.Fresh.From = s, from
 	}
 }
 
 // receiveConfirmation keeps a neighbour's confirmation until this daemon holds the
 // configuration it refers to.
-func receiveConfirmation(w *table.World, l *table.Link, v wire.Vouch) {
+func receiveConfirmation(w *table.World, l *table.Link, v wire.FreshnessConfirmation) {
 	sent, ok := l.Pings.At(v.Echo)
 	if !ok {
 		return
 	}
-	l.Vouch = table.Vouch{
+	l.Confirmation = table.Confirmation{
 		Base: v.Base, Position: v.Position,
-		Stamp: freshness.Heard(sent, time.Duration(v.AgeUs)*time.Microsecond),
+		Timestamp: freshness.FromPeer(sent, time.Duration(v.AgeUs)*time.Microsecond),
 	}
 	applyConfirmation(w, l)
 }
@@ -58,8 +58,8 @@
 // this daemon holds everything that the neighbour held.
 func applyConfirmation(w *table.World, l *table.Link) {
 	s := w.Config.State
-	if l.Vouch.Base == s.Base && l.Vouch.Position <= s.Position {
-		advanceTimestamp(w, l.Vouch.Stamp, l.ID)
+	if l.Confirmation.Base == s.Base && l.Confirmation.Position <= s.Position {
+		advanceTimestamp(w, l.Confirmation.Timestamp, l.ID)
 	}
 }
 
@@ -67,32 +67,32 @@
 // becomes stale and when it is fresh again.
 func runFreshness(w *table.World, out *Outbox) {
 	if w.Params.Revoke == 0 {
-		out.Stamp = w.Fresh.Stamp
+		out.FreshAt = w.Fresh.Timestamp
 		return
 	}
 	links := neighbours(w)
 	for _, l := range links {
 		applyConfirmation(w, l)
 	}
-	out.Stamp = w.Fresh.Stamp
+	out.FreshAt = w.Fresh.Timestamp
 	reportFreshness(w, out)
-	if w.Fresh.Stamp == 0 {
+	if w.Fresh.Timestamp == 0 {
 		return
 	}
 	for _, l := range links {
-		if !l.TakesVouches || l.ID == w.Fresh.From || w.Fresh.Stamp < l.Vouched+freshness.Stamp(minTimestampAdvance) {
+		if !l.TakesConfirmations || l.ID == w.Fresh.From || w.Fresh.Timestamp < l.ConfirmationSent+freshness.Timestamp(minTimestampAdvance) {
 			continue
 		}
-		l.Vouched = w.Fresh.Stamp
+		l.ConfirmationSent = w.Fresh.Timestamp
 		s := w.Config.State
-		out.send(l.ID, wire.Vouch{
-			Base: s.Base, Position: s.Position, Echo: l.SeenSeq, AgeUs: w.Fresh.Stamp.Age(w.Boot).Microseconds(),
+		out.send(l.ID, wire.FreshnessConfirmation{
+			Base: s.Base, Position: s.Position, Echo: l.SeenSeq, AgeUs: w.Fresh.Timestamp.Age(w.Boot).Microseconds(),
 		})
 	}
 }
 
 func reportFreshness(w *table.World, out *Outbox) {
-	fresh := w.Fresh.Stamp.Fresh(w.Boot, w.Params.Revoke)
+	fresh := w.Fresh.Timestamp.Fresh(w.Boot, w.Params.Revoke)
 	if fresh == w.Fresh.Known {
 		return
 	}
@@ -103,6 +103,6 @@
 	}
 	out.event(event.Event{
 		Kind: kind, Version: w.Config.State.Version,
-		Detail: fmt.Sprintf("last known to be the newest %v ago, bound %v", w.Fresh.Stamp.Age(w.Boot).Truncate(time.Millisecond), w.Params.Revoke),
+		Detail: fmt.Sprintf("last known to be the newest %v ago, bound %v", w.Fresh.Timestamp.Age(w.Boot).Truncate(time.Millisecond), w.Params.Revoke),
 	})
 }
--- a/internal/system/freshness_test.go
+++ b/internal/system/freshness_test.go
@@ -52,7 +52,7 @@
 	for end := r.now.Add(d); r.now.Before(end); {
 		r.run(tickInterval)
 		for _, node := range r.nodes {
-			if !node.alive || !node.w.Fresh.Stamp.Fresh(r.bootTime(node), testRevocationBound) {
+			if !node.alive || !node.w.Fresh.Timestamp.Fresh(r.bootTime(node), testRevocationBound) {
 				continue
 			}
 			for _, c := range r.changes {
@@ -127,7 +127,7 @@
 	n.converge(20 * time.Second)
 	oldestAge := func() (age time.Duration) {
 		for _, node := range n.nodes {
-			age = max(age, node.w.Fresh.Stamp.Age(n.bootTime(node)))
+			age = max(age, node.w.Fresh.Timestamp.Age(n.bootTime(node)))
 		}
 		return age
 	}
@@ -139,7 +139,7 @@
 	n.storeUnreachable["d2"] = true
 	n.run(testRevocationBound)
 	for _, node := range n.nodes {
-		is.True(!node.w.Fresh.Stamp.Fresh(n.bootTime(node), testRevocationBound))
+		is.True(!node.w.Fresh.Timestamp.Fresh(n.bootTime(node), testRevocationBound))
 		is.True(!node.w.Fresh.Known)
 	}
 	n.storeUnreachable["d1"] = false
@@ -158,9 +158,9 @@
 	asked := time.Second
 	ageAfter := func(r DocumentRead) time.Duration {
 		asked += time.Second
-		r.Asked = asked
+		r.StartedAt = asked
 		Tick(w, at, []Input{r})
-		return asked - time.Duration(w.Fresh.Stamp)
+		return asked - time.Duration(w.Fresh.Timestamp)
 	}
 	is.Equal(ageAfter(DocumentRead{Document: documentOf(5, 3)}), time.Duration(0))
 	is.Equal(ageAfter(DocumentRead{}), time.Duration(0)) // nothing new
--- a/internal/system/gossip.go
+++ b/internal/system/gossip.go
@@ -9,18 +9,18 @@
 
 // queueRecord queues a member's whole record for the current gossip window.
 func queueRecord(w *table.World, now time.Time, id string, from table.LinkID) {
-	w.Outgoing.Full[id] = from
-	delete(w.Outgoing.Beats, id)
+	w.Outgoing.Records[id] = from
+	delete(w.Outgoing.Heartbeats, id)
 	startGossipWindow(w, now)
 }
 
 // queueRenewal queues a member's renewal for the current gossip window, unless its whole
 // record is queued already.
 func queueRenewal(w *table.World, now time.Time, id string, from table.LinkID) {
-	if _, ok := w.Outgoing.Full[id]; ok {
+	if _, ok := w.Outgoing.Records[id]; ok {
 		return
 	}
-	w.Outgoing.Beats[id] = from
+	w.Outgoing.Heartbeats[id] = from
 	startGossipWindow(w, now)
 }
 
@@ -36,43 +36,43 @@
 		return
 	}
 	for _, l := range neighbours(w) {
-		if m := queuedFor(w, now, l); len(m.Full)+len(m.Beats) > 0 {
+		if m := queuedFor(w, now, l); len(m.Records)+len(m.Heartbeats) > 0 {
 			out.send(l.ID, m)
 		}
 	}
-	clear(w.Outgoing.Full)
-	clear(w.Outgoing.Beats)
+	clear(w.Outgoing.Records)
+	clear(w.Outgoing.Heartbeats)
 	w.Outgoing.Due = time.Time{}
 }
 
 // queuedFor returns the queued changes to send on this connection.
 func queuedFor(w *table.World, now time.Time, l *table.Link) wire.Members {
 	var m wire.Members
-	for _, id := range sortedKeys(w.Outgoing.Full) {
-		if !forwardsTo(w, w.Outgoing.Full[id], l) {
+	for _, id := range sortedKeys(w.Outgoing.Records) {
+		if !forwardsTo(w, w.Outgoing.Records[id], l) {
 			continue
 		}
 		if id == w.Self.ID {
-			m.Full = append(m.Full, w.Self)
+			m.Records = append(m.Records, w.Self)
 		} else if row := w.Members[id]; row != nil {
-			m.Full = append(m.Full, recordWithAge(row, now))
+			m.Records = append(m.Records, recordWithAge(row, now))
 		}
 	}
-	for _, id := range sortedKeys(w.Outgoing.Beats) {
-		if !forwardsTo(w, w.Outgoing.Beats[id], l) {
+	for _, id := range sortedKeys(w.Outgoing.Heartbeats) {
+		if !forwardsTo(w, w.Outgoing.Heartbeats[id], l) {
 			continue
 		}
 		if id == w.Self.ID {
-			m.Beats = append(m.Beats, beatOf(w.Self))
+			m.Heartbeats = append(m.Heartbeats, beatOf(w.Self))
 		} else if row := w.Members[id]; row != nil {
-			m.Beats = append(m.Beats, beatOf(row.Member))
+			m.Heartbeats = append(m.Heartbeats, beatOf(row.Member))
 		}
 	}
 	return m
 }
 
-func beatOf(m wire.Member) wire.BeatOf {
-	return wire.BeatOf{ID: m.ID, Incarnation: m.Incarnation, Beat: m.Beat}
+func beatOf(m wire.Member) wire.MemberHeartbeat {
+	return wire.MemberHeartbeat{ID: m.ID, Incarnation: m.Incarnation, Heartbeat: m.Heartbeat}
 }
 
 // forwardsTo reports whether a change received on one connection is sent on another. A
--- a/internal/system/lives_test.go
+++ b/internal/system/incarnations_test.go
@@ -16,7 +16,7 @@
 	id := "vm/up@" + time.UnixMilli(born).UTC().Format("150405.000")
 	return Announced{Local: table.Local{
 		Upstream: wire.Upstream{ID: id, Service: "s", Slots: 4, Draining: draining},
-		Name:     "vm/up", Life: "up", Process: "up", Addr: "a:1", Sequence: sequence, Born: born,
+		Name:     "vm/up", Incarnation: "up", Process: "up", Addr: "a:1", Sequence: sequence, StartedMs: born,
 	}}
 }
 
@@ -35,22 +35,22 @@
 		}
 		return nil
 	}
-	is.Equal(tick(announcement(1000, 90, true)).Born, int64(1000))
+	is.Equal(tick(announcement(1000, 90, true)).StartedMs, int64(1000))
 	row := tick(announcement(2000, 1, false)) // its sequence is lower than that of the earlier incarnation
-	is.Equal(row.Born, int64(2000))
+	is.Equal(row.StartedMs, int64(2000))
 	is.True(!row.Draining)
-	is.Equal(tick(announcement(1000, 91, true)).Born, int64(2000))                                      // late
-	is.Equal(tick(Removed{Name: "vm/up", Born: 1000}).Born, int64(2000))                                // late
-	is.Equal(tick(Removed{Name: "vm/up", Born: 2000}) == nil, true)                                     // it stops
-	is.Equal(tick(announcement(2000, 2, false)) == nil, true)                                           // late
-	is.Equal(tick(announcement(3000, 1, false)).Born, int64(3000))                                      // while late announcements are still expected
-	is.Equal(tick(Removed{Name: "vm/up"}) == nil, true)                                                 // whichever incarnation is running
-	is.Equal(tick(Removed{Name: "vm/up"}) == nil, true)                                                 // removed twice: the second time as it exits
-	is.Equal(tick(announcement(3000, 9, false)) == nil, true)                                           // late
-	is.Equal(tick(announcement(4000, 1, false)).Born, int64(4000))                                      // another incarnation
-	is.Equal(tick(announcement(4000, 3, true), announcement(4000, 2, false)).Draining, true)            // reordered
-	is.Equal(tick(announcement(1000, 100, false), announcement(2000, 5, false)).Born, int64(4000))      // several late ones at once
-	is.Equal(tick(Removed{Name: "vm/up", Born: 1000}, announcement(4000, 4, true)).Sequence, uint64(4)) // a late removal
+	is.Equal(tick(announcement(1000, 91, true)).StartedMs, int64(2000))                                      // late
+	is.Equal(tick(Removed{Name: "vm/up", StartedMs: 1000}).StartedMs, int64(2000))                           // late
+	is.Equal(tick(Removed{Name: "vm/up", StartedMs: 2000}) == nil, true)                                     // it stops
+	is.Equal(tick(announcement(2000, 2, false)) == nil, true)                                                // late
+	is.Equal(tick(announcement(3000, 1, false)).StartedMs, int64(3000))                                      // while late announcements are still expected
+	is.Equal(tick(Removed{Name: "vm/up"}) == nil, true)                                                      // whichever incarnation is running
+	is.Equal(tick(Removed{Name: "vm/up"}) == nil, true)                                                      // removed twice: the second time as it exits
+	is.Equal(tick(announcement(3000, 9, false)) == nil, true)                                                // late
+	is.Equal(tick(announcement(4000, 1, false)).StartedMs, int64(4000))                                      // another incarnation
+	is.Equal(tick(announcement(4000, 3, true), announcement(4000, 2, false)).Draining, true)                 // reordered
+	is.Equal(tick(announcement(1000, 100, false), announcement(2000, 5, false)).StartedMs, int64(4000))      // several late ones at once
+	is.Equal(tick(Removed{Name: "vm/up", StartedMs: 1000}, announcement(4000, 4, true)).Sequence, uint64(4)) // a late removal
 }
 
 // TestIncarnationsInAnyOrder generates announcements and removals in any order. The row
@@ -64,7 +64,7 @@
 		for range rapid.IntRange(1, 30).Draw(t, "words") {
 			born := 1000 * rapid.Int64Range(1, 4).Draw(t, "born")
 			if rapid.IntRange(0, 4).Draw(t, "end") == 0 {
-				Tick(w, at, []Input{Removed{Name: "vm/up", Born: born}})
+				Tick(w, at, []Input{Removed{Name: "vm/up", StartedMs: born}})
 				removed = max(removed, born)
 			} else {
 				n := rapid.Uint64Range(1, 9).Draw(t, "sequence")
@@ -82,7 +82,7 @@
 				continue
 			}
 			for _, row := range w.Locals {
-				if len(w.Locals) != 1 || row.Born != newest || row.Sequence != lastSequence[newest] {
+				if len(w.Locals) != 1 || row.StartedMs != newest || row.Sequence != lastSequence[newest] {
 					t.Fatalf("newest incarnation %d, last sequence %d, but the table holds %+v", newest, lastSequence[newest], row)
 				}
 			}
--- a/internal/system/link.go
+++ b/internal/system/link.go
@@ -63,7 +63,7 @@
 func sendHello(w *table.World, now time.Time, l *table.Link, out *Outbox) {
 	hello := wire.Hello{
 		ID: w.Self.ID, Domain: w.Self.Domain, Incarnation: w.Self.Incarnation,
-		Probe: l.Probe, Suspects: suspectsHash(w), Rollouts: rolloutsHash(w), Vouches: true, Ping: nextPing(w, now, l),
+		Probe: l.Probe, Suspects: suspectsHash(w), Rollouts: rolloutsHash(w), TakesConfirmations: true, Ping: nextPing(w, now, l),
 	}
 	if m := w.Members[l.Peer]; m != nil {
 		hello.Floor = m.Floor
@@ -85,14 +85,14 @@
 	l.Probe = l.Probe || h.Probe
 	if l.Dialed {
 		l.Met = true
-		w.Reach(l.Addr)
+		w.ClearBackoff(l.Addr)
 	} else {
 		sendHello(w, now, l, out)
 	}
 	dropDuplicate(w, l, out)
 	sendSuspects(w, l, h, out)
 	sendRollouts(w, now, l, h, out)
-	l.TakesVouches = h.Vouches
+	l.TakesConfirmations = h.TakesConfirmations
 	w.Config.Floor = max(w.Config.Floor, h.Floor)
 	receivePing(w, now, l, h.Ping, out)
 }
@@ -130,7 +130,7 @@
 	pullConfig(w, now, l, out)
 	if all, each := w.MemberDigests(); all != p.Members && !now.Before(l.MembersPulled.Add(memberPullInterval(w, now))) {
 		l.MembersPulled = now
-		out.send(l.ID, wire.MembersPull{Buckets: each, Brief: true})
+		out.send(l.ID, wire.MembersPull{BucketDigests: each, DigestsOnly: true})
 	}
 }
 
@@ -193,7 +193,7 @@
 	}
 	out.event(event.Event{Kind: event.LinkLost, Peer: l.Peer, Detail: c.Reason})
 	if l.Dialed && w.Reachable(l.Addr, now) {
-		w.Fail(l.Addr, now)
+		w.RecordDialFailure(l.Addr, now)
 	}
 }
 
@@ -208,7 +208,7 @@
 	}
 	drop(w, l, out)
 	if l.Dialed {
-		w.Postpone(l.Addr, until)
+		w.DeferDial(l.Addr, until)
 	}
 	if len(b.Peers) > 0 {
 		addSeeds(w, now, b.Peers)
--- a/internal/system/link_test.go
+++ b/internal/system/link_test.go
@@ -18,7 +18,7 @@
 	full := documentWorld()
 	full.Params.MaxLinks = 0
 	var out Outbox
-	mergeMembers(full, at, 0, wire.Members{Full: []wire.Member{
+	mergeMembers(full, at, 0, wire.Members{Records: []wire.Member{
 		{ID: "b", Domain: "d", Peer: "b:1", Owner: "b:2", Incarnation: 1, Seq: 1},
 		{ID: "c", Domain: "d", Peer: "c:1", Owner: "c:2", Incarnation: 1, Seq: 1, Leaving: true},
 	}}, &out)
--- a/internal/system/log.go
+++ b/internal/system/log.go
@@ -23,17 +23,17 @@
 	// to the log again, as a fraction of the checkpoint interval. A log that replaced a
 	// lost one lists no daemons.
 	publishIntervalFraction = 0.5
-	// lookTime is how long a daemon waits to learn whether the log lists its addresses
+	// listedTimeout is how long a daemon waits to learn whether the log lists its addresses
 	// before it publishes them: the time of one read.
-	lookTime = time.Second
-	// lookSpread is the time over which daemons that start together spread their second
+	listedTimeout = time.Second
+	// recheckSpread is the time over which daemons that start together spread their second
 	// look at the log. By then the first of them have published their addresses.
-	lookSpread = 400 * time.Millisecond
-	// enoughListed is the number of other daemons listed on the log from which on a
+	recheckSpread = 400 * time.Millisecond
+	// listedThreshold is the number of other daemons listed on the log from which on a
 	// daemon need not publish its addresses, unless it is a root. A starting daemon dials
 	// only a few of them, and if all n daemons were listed, each start of the fleet would
 	// read n*n addresses.
-	enoughListed = 32
+	listedThreshold = 32
 )
 
 // readFrom returns the offset of the next read.
@@ -67,7 +67,7 @@
 	atEnd := w.Config.State.Position >= b.End
 	w.Log.CaughtUp = w.Log.CaughtUp || atEnd
 	if atEnd {
-		confirmFromStore(w, r.Asked)
+		confirmFromStore(w, r.StartedAt)
 		backOffReads(w, now)
 	}
 }
@@ -148,7 +148,7 @@
 		return false
 	}
 	if reseed {
-		next = config.Reseeded(next, e.Offset)
+		next = config.NewReseededState(next, e.Offset)
 	}
 	return adopt(w, now, next, out)
 }
@@ -159,7 +159,7 @@
 	if next == nil || !reseed {
 		return false
 	}
-	return adopt(w, now, config.Reseeded(next, e.Offset), out)
+	return adopt(w, now, config.NewReseededState(next, e.Offset), out)
 }
 
 func checkpointState(e store.Entry) (s *config.State, reseed bool) {
@@ -230,16 +230,16 @@
 	log := &w.Log
 	// While the whole fleet starts, many daemons assume for a short time that they are a
 	// root.
-	settled := now.Sub(w.Started) >= settleGraces*w.Params.Grace
+	settled := now.Sub(w.Started) >= settledAfterGraces*w.Params.Grace
 	switch {
 	case log.Listing == table.Unlisted && w.MembersTree.Root && settled:
 		log.Listing, log.NextPublish = table.Listed, now
 	case log.Listing == table.Unlisted, now.Before(log.NextPublish):
 		return
-	case log.Listing == table.NotLooked && now.Sub(w.Started) < lookTime:
+	case log.Listing == table.ListingUnknown && now.Sub(w.Started) < listedTimeout:
 		return
-	case log.Listing == table.LookAgain:
-		log.Listing, log.NextPublish = table.Looking, now.Add(lookTime)
+	case log.Listing == table.ListingRecheckDue:
+		log.Listing, log.NextPublish = table.ListingRechecking, now.Add(listedTimeout)
 		out.FindSeeds = true
 		return
 	}
@@ -259,11 +259,11 @@
 	case log.Listing == table.Listed || log.Listing == table.Unlisted:
 	case s.Listed:
 		log.Listing, log.NextPublish = table.Listed, nextPublish(w, now)
-	case log.Listing == table.NotLooked:
-		log.Listing, log.NextPublish = table.LookAgain, now.Add(time.Duration(w.Rand.Int64N(int64(lookSpread))))
-	case log.Listing == table.Looking && s.Others >= enoughListed:
+	case log.Listing == table.ListingUnknown:
+		log.Listing, log.NextPublish = table.ListingRecheckDue, now.Add(time.Duration(w.Rand.Int64N(int64(recheckSpread))))
+	case log.Listing == table.ListingRechecking && s.Others >= listedThreshold:
 		log.Listing = table.Unlisted
-	case log.Listing == table.Looking:
+	case log.Listing == table.ListingRechecking:
 		log.NextPublish = now
 	}
 }
--- a/internal/system/member.go
+++ b/internal/system/member.go
@@ -27,10 +27,10 @@
 const lapseChecks = 50
 
 func mergeMembers(w *table.World, now time.Time, from table.LinkID, m wire.Members, out *Outbox) {
-	for _, rec := range m.Full {
+	for _, rec := range m.Records {
 		mergeMember(w, now, from, rec, out)
 	}
-	for _, beat := range m.Beats {
+	for _, beat := range m.Heartbeats {
 		mergeBeat(w, now, from, beat)
 	}
 }
@@ -50,28 +50,28 @@
 		out.event(event.Event{Kind: event.MemberUp, Peer: rec.ID})
 	case rec.Newer(row.Member):
 		restarted := rec.Incarnation != row.Incarnation
-		beat := row.Beat
+		beat := row.Heartbeat
 		row.Member = rec
-		row.Heard = later(row.Heard, heard)
-		if !restarted && beat.N > rec.Beat.N {
-			row.Beat = beat
+		row.Heard = latestTime(row.Heard, heard)
+		if !restarted && beat.Seq > rec.Heartbeat.Seq {
+			row.Heartbeat = beat
 		}
 		if restarted {
-			w.Reach(rec.Peer)
+			w.ClearBackoff(rec.Peer)
 		}
-	case rec.Incarnation == row.Incarnation && rec.Beat.N > row.Beat.N:
-		row.Beat = rec.Beat
-		row.Heard = later(row.Heard, heard)
-		row.Floor = max(row.Floor, rec.Beat.Applied)
+	case rec.Incarnation == row.Incarnation && rec.Heartbeat.Seq > row.Heartbeat.Seq:
+		row.Heartbeat = rec.Heartbeat
+		row.Heard = latestTime(row.Heard, heard)
+		row.Floor = max(row.Floor, rec.Heartbeat.Applied)
 		revive(w, now, row)
 		return
 	default:
 		return
 	}
-	row.Floor = max(row.Floor, rec.Beat.Applied)
+	row.Floor = max(row.Floor, rec.Heartbeat.Applied)
 	w.MembersAt = now
 	w.MembersChanged()
-	displaced := w.Hold(row.Member)
+	displaced := w.ClaimAddress(row.Member)
 	row.Lapsed = now.Sub(row.Heard) > w.Params.Lapse || w.Displaced(row.Member)
 	lapseDisplaced(w, displaced, out)
 	queueRecord(w, now, rec.ID, from)
@@ -94,19 +94,19 @@
 // incarnation shows which version that incarnation had in force.
 func mergeSelf(w *table.World, rec wire.Member, out *Outbox) {
 	if rec.Incarnation < w.Self.Incarnation {
-		w.Config.Floor = max(w.Config.Floor, rec.Beat.Applied)
+		w.Config.Floor = max(w.Config.Floor, rec.Heartbeat.Applied)
 	}
 	if rec.Incarnation > w.Self.Incarnation {
 		raiseAlarm(w, AlarmDuplicate, "another daemon runs as VM "+rec.ID, out)
 	}
 }
 
-func mergeBeat(w *table.World, now time.Time, from table.LinkID, b wire.BeatOf) {
+func mergeBeat(w *table.World, now time.Time, from table.LinkID, b wire.MemberHeartbeat) {
 	row := w.Members[b.ID]
-	if row == nil || row.Incarnation != b.Incarnation || b.N <= row.Beat.N {
+	if row == nil || row.Incarnation != b.Incarnation || b.Seq <= row.Heartbeat.Seq {
 		return
 	}
-	row.Beat = b.Beat
+	row.Heartbeat = b.Heartbeat
 	row.Floor = max(row.Floor, b.Applied)
 	row.Heard = now
 	revive(w, now, row)
@@ -127,7 +127,7 @@
 func runMembers(w *table.World, now time.Time, out *Outbox) {
 	if w.SelfDirty || !now.Before(w.NextRenew) {
 		w.NextRenew = now.Add(w.Params.Renew)
-		w.Self.Beat.N++
+		w.Self.Heartbeat.Seq++
 		if w.SelfDirty {
 			queueRecord(w, now, w.Self.ID, 0)
 		} else {
@@ -143,7 +143,7 @@
 		silence := now.Sub(row.Heard)
 		switch {
 		case silence > forgetAfter:
-			w.Forget(id)
+			w.RemoveMember(id)
 		case silence > w.Params.Lapse && !row.Lapsed:
 			row.Lapsed = true
 			w.MembersChanged()
@@ -157,17 +157,17 @@
 // whole records, most of which the peer already holds, would cost n*n.
 func answerMembersPull(w *table.World, now time.Time, l *table.Link, p wire.MembersPull, out *Outbox) {
 	_, each := w.MemberDigests()
-	if len(p.Buckets) != len(each) {
+	if len(p.BucketDigests) != len(each) {
 		return
 	}
-	differs := func(id string) bool { b := table.Bucket(id); return each[b] != p.Buckets[b] }
-	if p.Brief {
+	differs := func(id string) bool { b := table.Bucket(id); return each[b] != p.BucketDigests[b] }
+	if p.DigestsOnly {
 		sendMemberDigests(w, now, l, differs, out)
 		return
 	}
 	var m wire.Members
 	if differs(w.Self.ID) {
-		m.Full = append(m.Full, w.Self)
+		m.Records = append(m.Records, w.Self)
 	}
 	for _, id := range sortedKeys(w.Members) {
 		row := w.Members[id]
@@ -177,10 +177,10 @@
 			continue
 		}
 		if differs(id) {
-			m.Full = append(m.Full, recordWithAge(row, now))
+			m.Records = append(m.Records, recordWithAge(row, now))
 		}
 	}
-	if len(m.Full) > 0 {
+	if len(m.Records) > 0 {
 		out.send(l.ID, m)
 	}
 }
@@ -188,7 +188,7 @@
 // sendMemberDigests sends the digests of the live members that were asked for.
 func sendMemberDigests(w *table.World, now time.Time, l *table.Link, asked func(id string) bool, out *Outbox) {
 	if row := w.Members[l.Peer]; row != nil && row.Lapsed {
-		out.send(l.ID, wire.Members{Full: []wire.Member{recordWithAge(row, now)}}) // carries the peer's floor
+		out.send(l.ID, wire.Members{Records: []wire.Member{recordWithAge(row, now)}}) // carries the peer's floor
 	}
 	var digests []byte
 	held := w.MembersByDigest()
@@ -198,7 +198,7 @@
 		}
 	}
 	if len(digests) > 0 {
-		out.send(l.ID, wire.MembersBrief{Digests: digests})
+		out.send(l.ID, wire.MembersDigests{Digests: digests})
 	}
 }
 
@@ -215,7 +215,7 @@
 }
 
 // requestUnknownMembers requests the records whose digests match no record held here.
-func requestUnknownMembers(w *table.World, l *table.Link, m wire.MembersBrief, out *Outbox) {
+func requestUnknownMembers(w *table.World, l *table.Link, m wire.MembersDigests, out *Outbox) {
 	held := w.MembersByDigest()
 	var want []byte
 	for d := range digestsIn(m.Digests) {
@@ -224,12 +224,12 @@
 		}
 	}
 	if len(want) > 0 {
-		out.send(l.ID, wire.MembersWant{Digests: want})
+		out.send(l.ID, wire.MembersRequest{Digests: want})
 	}
 }
 
 // answerMembersWant sends the records that match the requested digests.
-func answerMembersWant(w *table.World, now time.Time, l *table.Link, m wire.MembersWant, out *Outbox) {
+func answerMembersWant(w *table.World, now time.Time, l *table.Link, m wire.MembersRequest, out *Outbox) {
 	held := w.MembersByDigest()
 	var records wire.Members
 	for d := range digestsIn(m.Digests) {
@@ -237,12 +237,12 @@
 		switch {
 		case !ok: // the record has changed since its digest was sent
 		case id == w.Self.ID:
-			records.Full = append(records.Full, w.Self)
+			records.Records = append(records.Records, w.Self)
 		default:
-			records.Full = append(records.Full, recordWithAge(w.Members[id], now))
+			records.Records = append(records.Records, recordWithAge(w.Members[id], now))
 		}
 	}
-	if len(records.Full) > 0 {
+	if len(records.Records) > 0 {
 		out.send(l.ID, records)
 	}
 }
@@ -253,7 +253,7 @@
 	return rec
 }
 
-func later(a, b time.Time) time.Time {
+func latestTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/system/rollouts.go
+++ b/internal/system/rollouts.go
@@ -21,8 +21,8 @@
 // several roots try, one succeeds, so that no lease or term is needed. A root that was
 // paused finds the record of those that have continued.
 
-// Ordered carries rollout orders that were read.
-type Ordered struct{ Orders []rollout.Order }
+// OrdersRead carries rollout orders that were read.
+type OrdersRead struct{ Orders []rollout.Order }
 
 // RolloutsRead is the result of a read of the rollout records in the store, or its error.
 type RolloutsRead struct {
@@ -30,15 +30,15 @@
 	Err     error
 }
 
-// RolloutTold reports that a rollout's phase was published in the store for operators.
-type RolloutTold struct{ Record rollout.Record }
+// RolloutPublished reports that a rollout's phase was published in the store for operators.
+type RolloutPublished struct{ Record rollout.Record }
 
 // oldVersionHold is how long upstreams of other versions get no calls after a rollout was
 // completed. Within this time they stop and their daemons notice.
 const oldVersionHold = 30 * time.Second
 
 // receiveOrders records orders that are later than those known.
-func receiveOrders(w *table.World, o Ordered, out *Outbox) {
+func receiveOrders(w *table.World, o OrdersRead, out *Outbox) {
 	for _, order := range o.Orders {
 		if err := order.Check(); err != nil {
 			out.event(event.Event{Kind: event.RolloutRefused, Service: order.Service, Detail: err.Error()})
@@ -62,7 +62,7 @@
 	for _, rec := range read.Records {
 		r := w.Rollouts[rec.Service]
 		if r != nil && r.ID == rec.ID && r.Phase == rec.Phase {
-			r.Held, r.Due = true, time.Time{}
+			r.Stored, r.Due = true, time.Time{}
 			continue
 		}
 		if r != nil && !rec.Follows(r.Record) {
@@ -70,10 +70,10 @@
 		}
 		age := min(max(0, now.Sub(time.UnixMilli(rec.Began))), 2*rec.Duration)
 		r = installRecord(w, now, rec, now.Add(-age), now, out)
-		r.Held = true
+		r.Stored = true
 		// The outcome of a rollout that ended long ago was published by the daemons
 		// running then.
-		r.Told = rec.Phase.Final() && age >= 2*rec.Duration
+		r.Published = rec.Phase.Final() && age >= 2*rec.Duration
 	}
 }
 
@@ -81,13 +81,13 @@
 func installRecord(w *table.World, now time.Time, rec rollout.Record, since, phaseSince time.Time, out *Outbox) *table.Rollout {
 	old := w.Rollouts[rec.Service]
 	r := &table.Rollout{
-		Record: rec, Since: since, PhaseSince: phaseSince, News: true,
+		Record: rec, Since: since, PhaseSince: phaseSince, Unsent: true,
 		Evidence: rollout.NewEvidence(), Domains: map[string]wire.Tally{},
 	}
 	if old != nil && old.ID == rec.ID {
 		r.Since, r.Evidence, r.Domains = old.Since, old.Evidence, old.Domains
 		if r.Live() {
-			r.Stop = old.Stop
+			r.StopReason = old.StopReason
 		}
 	}
 	w.Rollouts[rec.Service] = r
@@ -104,7 +104,7 @@
 
 // stopRollout stops sending calls to the new version.
 func stopRollout(w *table.World, r *table.Rollout, why string, out *Outbox) {
-	r.Stop, r.News, r.From = why, true, 0
+	r.StopReason, r.Unsent, r.From = why, true, 0
 	w.ViewDirty = true
 	out.event(event.Event{Kind: event.RolloutStopped, Service: r.Service, Version: r.ID, Detail: r.Target + ": " + why})
 }
@@ -114,7 +114,7 @@
 	h := xxhash.New()
 	for _, service := range sortedKeys(w.Rollouts) {
 		r := w.Rollouts[service]
-		fmt.Fprintf(h, "%s %d %d %t\n", service, r.ID, r.Phase, r.Stop != "")
+		fmt.Fprintf(h, "%s %d %d %t\n", service, r.ID, r.Phase, r.StopReason != "")
 	}
 	return fmt.Sprintf("%x", h.Sum64())
 }
@@ -134,7 +134,7 @@
 
 func stateOf(r *table.Rollout, now time.Time) wire.RolloutState {
 	return wire.RolloutState{
-		Record: r.Record, AgeMs: now.Sub(r.Since).Milliseconds(), PhaseAgeMs: now.Sub(r.PhaseSince).Milliseconds(), Stop: r.Stop,
+		Record: r.Record, AgeMs: now.Sub(r.Since).Milliseconds(), PhaseAgeMs: now.Sub(r.PhaseSince).Milliseconds(), StopReason: r.StopReason,
 	}
 }
 
@@ -150,11 +150,11 @@
 		if r == nil || s.Follows(r.Record) {
 			r = installRecord(w, now, s.Record, ago(s.AgeMs), ago(s.PhaseAgeMs), out)
 			// Phases after the first are reached only through a record in the store.
-			r.Held = s.Phase != rollout.Trying
+			r.Stored = s.Phase != rollout.Trying
 			r.From = l.ID
 		}
-		if r.ID == s.ID && r.Live() && r.Stop == "" && s.Stop != "" {
-			stopRollout(w, r, s.Stop, out)
+		if r.ID == s.ID && r.Live() && r.StopReason == "" && s.StopReason != "" {
+			stopRollout(w, r, s.StopReason, out)
 			r.From = l.ID
 		}
 	}
@@ -204,19 +204,19 @@
 	next, wanted := r.Record, false
 	if r.Live() {
 		target, others := w.UpstreamsOf(r.Service, r.Target)
-		if r.Stop == "" {
+		if r.StopReason == "" {
 			judgeRollout(w, r, target, others, out)
 		}
 		next, wanted = nextRecord(w, now, r, len(target))
 	}
 	switch {
-	case wanted || !r.Held:
+	case wanted || !r.Stored:
 		if takeRolloutTurn(w, now, r) {
-			out.AgreeRollouts = append(out.AgreeRollouts, next)
+			out.CommitRollouts = append(out.CommitRollouts, next)
 		}
-	case !r.Told:
+	case !r.Published:
 		if takeRolloutTurn(w, now, r) {
-			out.TellRollouts = append(out.TellRollouts, r.Record)
+			out.PublishRollouts = append(out.PublishRollouts, r.Record)
 		}
 	}
 }
@@ -227,14 +227,14 @@
 	plan := w.Plan(r.Duration)
 	elapsed := now.Sub(r.Since)
 	switch {
-	case r.Stop != "":
-		return r.To(rollout.Reverted, r.Stop), true
-	case target == 0 && elapsed >= plan.MoveAt()+plan.CompleteAfter():
-		return r.To(rollout.Reverted, "no upstream of the version takes calls"), true
-	case r.Phase == rollout.Trying && elapsed >= plan.MoveAt() && target > 0:
-		return r.To(rollout.Moving, ""), true
-	case r.Phase == rollout.Moving && now.Sub(r.PhaseSince) >= plan.CompleteAfter():
-		return r.To(rollout.Completed, evidenceSummary(r)), true
+	case r.StopReason != "":
+		return r.WithPhase(rollout.Reverted, r.StopReason), true
+	case target == 0 && elapsed >= plan.MoveAfter()+plan.MoveTimeout():
+		return r.WithPhase(rollout.Reverted, "no upstream of the version takes calls"), true
+	case r.Phase == rollout.Trying && elapsed >= plan.MoveAfter() && target > 0:
+		return r.WithPhase(rollout.Moving, ""), true
+	case r.Phase == rollout.Moving && now.Sub(r.PhaseSince) >= plan.MoveTimeout():
+		return r.WithPhase(rollout.Completed, evidenceSummary(r)), true
 	}
 	return r.Record, false
 }
@@ -259,15 +259,15 @@
 // receiveRolloutPublished records that a phase was published for operators.
 func receiveRolloutPublished(w *table.World, rec rollout.Record) {
 	if r := w.Rollouts[rec.Service]; r != nil && r.ID == rec.ID && r.Phase == rec.Phase {
-		r.Told, r.Due = true, time.Time{}
+		r.Published, r.Due = true, time.Time{}
 	}
 }
 
 func forwardRollouts(w *table.World, now time.Time, out *Outbox) {
 	var changed []*table.Rollout
 	for _, service := range sortedKeys(w.Rollouts) {
-		if r := w.Rollouts[service]; r.News {
-			r.News = false
+		if r := w.Rollouts[service]; r.Unsent {
+			r.Unsent = false
 			changed = append(changed, r)
 		}
 	}
--- a/internal/system/rollouts_test.go
+++ b/internal/system/rollouts_test.go
@@ -43,7 +43,7 @@
 		r, _ := read()
 		node.inputs = append(node.inputs, r)
 	}
-	for _, rec := range out.AgreeRollouts {
+	for _, rec := range out.CommitRollouts {
 		r, end := read()
 		if r.Err == nil && followsAll(rec, r.Records) {
 			data, _ := json.Marshal(rec)
@@ -54,10 +54,10 @@
 		}
 		node.inputs = append(node.inputs, r)
 	}
-	for _, rec := range out.TellRollouts {
+	for _, rec := range out.PublishRollouts {
 		if !n.storeUnreachable[node.domain] {
 			n.published = append(n.published, rec)
-			node.inputs = append(node.inputs, RolloutTold{Record: rec})
+			node.inputs = append(node.inputs, RolloutPublished{Record: rec})
 		}
 	}
 }
@@ -122,7 +122,7 @@
 		for _, v := range versions {
 			id := node.id + "/" + v
 			node.inputs = append(node.inputs, Announced{Local: table.Local{
-				Upstream: wire.Upstream{ID: id, Service: rolloutService, Version: v, Slots: 4}, Name: id, Life: id, Addr: "127.0.0.1:1" + id,
+				Upstream: wire.Upstream{ID: id, Service: rolloutService, Version: v, Slots: 4}, Name: id, Incarnation: id, Addr: "127.0.0.1:1" + id,
 			}})
 		}
 	}
@@ -145,7 +145,7 @@
 		}
 		for _, node := range r.n.nodes {
 			if node.alive && node.w.MembersTree.Root && !r.n.storeUnreachable[node.domain] && r.order.ID > 0 {
-				node.inputs = append(node.inputs, Ordered{Orders: []rollout.Order{r.order}})
+				node.inputs = append(node.inputs, OrdersRead{Orders: []rollout.Order{r.order}})
 			}
 		}
 		r.n.run(tickInterval)
@@ -185,7 +185,7 @@
 			failureRate = r.failureRate
 		}
 		if s.Split != nil {
-			s.Split.Note(r.n.now, view.Ran{Route: fmt.Sprint("route-", r.rng.IntN(r.routes)), Upstream: u, Failed: r.rng.Float64() < failureRate, Took: time.Millisecond})
+			s.Split.Note(r.n.now, view.CallResult{Route: fmt.Sprint("route-", r.rng.IntN(r.routes)), Upstream: u, Failed: r.rng.Float64() < failureRate, Took: time.Millisecond})
 		}
 	}
 }
@@ -324,17 +324,17 @@
 	noVersion.ID, noVersion.Target = 99, ""
 	for _, m := range []wire.Message{
 		wire.Rollouts{States: []wire.RolloutState{older, noPhase, negative, noVersion}},
-		wire.Tally{Service: rolloutService, Order: before.ID, Domain: "d0", By: "x", Rows: []rollout.Row{{Count: rollout.Count{N: -5}}}},
-		wire.Tally{Service: rolloutService, Order: before.ID, Domain: "d0", By: "x", Rows: []rollout.Row{{Cell: rollout.Cell{Target: true}, Count: rollout.Count{N: 5, Failed: 6}}}},
-		wire.Tally{Service: "another", Order: 1}, wire.Tally{Service: rolloutService, Order: 77},
+		wire.Tally{Service: rolloutService, OrderID: before.ID, Domain: "d0", AggregatedBy: "x", Rows: []rollout.Row{{Count: rollout.Count{N: -5}}}},
+		wire.Tally{Service: rolloutService, OrderID: before.ID, Domain: "d0", AggregatedBy: "x", Rows: []rollout.Row{{Cell: rollout.Cell{Target: true}, Count: rollout.Count{N: 5, Failed: 6}}}},
+		wire.Tally{Service: "another", OrderID: 1}, wire.Tally{Service: rolloutService, OrderID: 77},
 	} {
 		Tick(node.w, r.n.now, []Input{Received{Link: link, Message: m}})
 	}
 	after := node.w.Rollouts[rolloutService]
 	is.Equal(after.Record, before.Record)
-	is.Equal(after.Stop, "")
+	is.Equal(after.StopReason, "")
 	for _, d := range after.Domains {
-		is.True(d.By != "x")
+		is.True(d.AggregatedBy != "x")
 	}
 }
 
--- a/internal/system/start_test.go
+++ b/internal/system/start_test.go
@@ -57,13 +57,13 @@
 	for _, m := range out.Sends {
 		switch v := m.Message.(type) {
 		case wire.Members:
-			c.records += len(v.Full)
+			c.records += len(v.Records)
 		case wire.MembersPull:
 			c.pulls++
 		}
 	}
 	if out.PublishSelf {
-		s.nextAppend = later(s.nextAppend, n.now).Add(4 * time.Millisecond)
+		s.nextAppend = latestTime(s.nextAppend, n.now).Add(4 * time.Millisecond)
 		s.appends = append(s.appends, addressAppend{s.nextAppend, node})
 	}
 	for len(s.appends) > 0 && !s.appends[0].at.After(n.now) {
@@ -149,7 +149,7 @@
 			t.Errorf("%s per daemon grow too fast: %.1f with %d daemons, %.1f with %d", c.name, a, small, b, large)
 		}
 	}
-	if listed := len(largeCosts.published); listed > 3*enoughListed {
+	if listed := len(largeCosts.published); listed > 3*listedThreshold {
 		t.Errorf("%d of %d daemons published their addresses in the store, want fewer", listed, large)
 	}
 }
--- a/internal/system/suspects.go
+++ b/internal/system/suspects.go
@@ -17,17 +17,17 @@
 // written to the store, for daemons that no peer can inform and for those that start
 // after all daemons have stopped.
 
-// Suspected reports that the table of suspects has changed.
-type Suspected struct{}
+// SuspectsChanged reports that the table of suspects has changed.
+type SuspectsChanged struct{}
 
 // QuarantineRead is the result of a read of the quarantined requests in the store, or its
 // error.
 type QuarantineRead struct {
 	Records []suspect.Record
-	// Whole is set if Records are all records in the store; otherwise they are those
+	// Complete is set if Records are all records in the store; otherwise they are those
 	// added since the last read.
-	Whole bool
-	Err   error
+	Complete bool
+	Err      error
 }
 
 const (
@@ -101,17 +101,17 @@
 func reportSuspect(c suspect.Change, out *Outbox) {
 	kind := event.Suspected
 	switch {
-	case c.Quarantined() && c.Before < suspect.Enough:
+	case c.Quarantined() && c.Before < suspect.QuarantineThreshold:
 		kind = event.Quarantined
 		out.Quarantined = append(out.Quarantined, c.Record)
-	case len(c.Ends) == 0 && c.Before > 0:
+	case len(c.Crashes) == 0 && c.Before > 0:
 		kind = event.Cleared
-	case len(c.Ends) == c.Before:
+	case len(c.Crashes) == c.Before:
 		return
 	}
 	out.event(event.Event{
 		Kind: kind, Request: c.Digest.String(),
-		Detail: fmt.Sprintf("%d upstreams have crashed while running it, %d before, round %d", len(c.Ends), c.Before, c.Round),
+		Detail: fmt.Sprintf("%d upstreams have crashed while running it, %d before, round %d", len(c.Crashes), c.Before, c.Round),
 	})
 }
 
@@ -123,7 +123,7 @@
 
 // maxStoredRecords bounds the copies of the store's records held in memory, whoever wrote
 // them.
-const maxStoredRecords = 2 * suspect.Most
+const maxStoredRecords = 2 * suspect.MaxRecords
 
 // receiveStoredQuarantine merges the records read from the store.
 func receiveStoredQuarantine(w *table.World, r QuarantineRead) {
@@ -132,12 +132,12 @@
 	}
 	q := &w.Quarantine
 	q.Read = true
-	if r.Whole {
-		clear(q.Held)
+	if r.Complete {
+		clear(q.Stored)
 	}
 	for _, rec := range r.Records {
-		if _, ok := q.Held[rec.Digest]; ok || len(q.Held) < maxStoredRecords {
-			q.Held[rec.Digest] = rec
+		if _, ok := q.Stored[rec.Digest]; ok || len(q.Stored) < maxStoredRecords {
+			q.Stored[rec.Digest] = rec
 		}
 		w.Suspects.Merge(rec)
 	}
@@ -146,22 +146,22 @@
 // syncQuarantine writes to the store the records it lacks, and deletes expired ones.
 func syncQuarantine(w *table.World, now time.Time, out *Outbox) {
 	q := &w.Quarantine
-	if now.Before(q.NextCheck) || !q.Read || !readsQuarantine(w, now) || !w.Suspects.Any() && len(q.Held) == 0 {
+	if now.Before(q.NextCheck) || !q.Read || !readsQuarantine(w, now) || !w.Suspects.Any() && len(q.Stored) == 0 {
 		return
 	}
 	q.NextCheck = now.Add(storeCheckInterval)
 	due := map[suspect.Digest]time.Time{}
-	for d, stored := range q.Held {
+	for d, stored := range q.Stored {
 		if stored.Expired(now) && takeStoreTurn(w, now, d, due) {
-			out.DropQuarantine = append(out.DropQuarantine, d)
-			delete(q.Held, d)
+			out.DeleteQuarantine = append(out.DeleteQuarantine, d)
+			delete(q.Stored, d)
 		}
 	}
 	for _, r := range w.Suspects.Records() {
-		stored, ok := q.Held[r.Digest]
+		stored, ok := q.Stored[r.Digest]
 		missing := !ok && r.Quarantined() || ok && !stored.Same(r)
 		if missing && takeStoreTurn(w, now, r.Digest, due) {
-			out.KeepQuarantine = append(out.KeepQuarantine, r)
+			out.StoreQuarantine = append(out.StoreQuarantine, r)
 		}
 	}
 	q.Due = due
--- a/internal/system/suspects_test.go
+++ b/internal/system/suspects_test.go
@@ -20,8 +20,8 @@
 
 // quarantine records three crashes at a daemon, each with the request as a suspect.
 func quarantine(node *testNode, d suspect.Digest) {
-	for e := range suspect.Enough {
-		node.w.Suspects.Charge(d, suspect.End(100*uint64(d)+uint64(e)))
+	for e := range suspect.QuarantineThreshold {
+		node.w.Suspects.RecordCrash(d, suspect.CrashID(100*uint64(d)+uint64(e)))
 	}
 }
 
@@ -29,7 +29,7 @@
 func (n *testNet) countQuarantining(d suspect.Digest) int {
 	count := 0
 	for _, node := range n.nodes {
-		if node.alive && node.w.Suspects.Ends(d) >= suspect.Enough {
+		if node.alive && node.w.Suspects.CrashCount(d) >= suspect.QuarantineThreshold {
 			count++
 		}
 	}
@@ -111,7 +111,7 @@
 	n := newTestNetFor(t, 2, 3)
 	n.publish("seed", baseConfig)
 	n.converge(20 * time.Second)
-	n.writeQuarantine(suspect.Record{Digest: 9, Ends: []suspect.End{1, 2, 3}, At: n.now.Add(-suspect.Keep).UnixMilli() + 5000})
+	n.writeQuarantine(suspect.Record{Digest: 9, Crashes: []suspect.CrashID{1, 2, 3}, At: n.now.Add(-suspect.Retention).UnixMilli() + 5000})
 	n.run(time.Second)
 	is.Equal(n.countQuarantining(9), len(n.nodes))
 	n.run(8 * time.Second)
@@ -138,14 +138,14 @@
 	is := is.New(t)
 	w := documentWorld()
 	at := time.Unix(1001, 0)
-	w.Suspects.Charge(1, 1)
+	w.Suspects.RecordCrash(1, 1)
 	out := Tick(w, at, []Input{
 		Opened{Link: 1}, Opened{Link: 2},
 		Received{Link: 1, Message: wire.Hello{ID: "early", Domain: "d", Incarnation: 1}},
 		Received{Link: 2, Message: wire.Hello{ID: "late", Domain: "d", Incarnation: 1, Suspects: "0"}},
 	})
-	w.Suspects.Charge(2, 1)
-	out.Sends = append(out.Sends, Tick(w, at, []Input{Suspected{}}).Sends...)
+	w.Suspects.RecordCrash(2, 1)
+	out.Sends = append(out.Sends, Tick(w, at, []Input{SuspectsChanged{}}).Sends...)
 	got := map[table.LinkID]int{}
 	for _, s := range out.Sends {
 		if m, ok := s.Message.(wire.Suspects); ok {
@@ -171,7 +171,7 @@
 		n.sentBytes = map[string]int{}
 		node := n.nodes[len(n.nodes)/2]
 		for d := range 16 {
-			node.w.Suspects.Charge(suspect.Digest(d+1), 77)
+			node.w.Suspects.RecordCrash(suspect.Digest(d+1), 77)
 		}
 		ticks := 0
 		for ; ticks < 50 && n.countSuspecting(16) < len(n.nodes); ticks++ {
@@ -198,7 +198,7 @@
 func (n *testNet) countSuspecting(d suspect.Digest) int {
 	count := 0
 	for _, node := range n.nodes {
-		if node.w.Suspects.Ends(d) > 0 {
+		if node.w.Suspects.CrashCount(d) > 0 {
 			count++
 		}
 	}
@@ -217,7 +217,7 @@
 			if other != node {
 				m := other.w.Self
 				node.w.Members[m.ID] = &table.Member{Member: m, Heard: n.now}
-				node.w.Hold(m)
+				node.w.ClaimAddress(m)
 			}
 		}
 		node.w.MembersChanged()
@@ -254,14 +254,14 @@
 	if n.storeUnreachable[node.domain] {
 		return
 	}
-	for _, r := range out.KeepQuarantine {
+	for _, r := range out.StoreQuarantine {
 		n.writeQuarantine(r)
 	}
-	for _, d := range out.DropQuarantine {
+	for _, d := range out.DeleteQuarantine {
 		delete(n.quarantineStore, d)
 	}
 	if out.ReadQuarantine && node.lastQuarantineRead != fmt.Sprint(node.incarnation, n.quarantineVersion) {
 		node.lastQuarantineRead = fmt.Sprint(node.incarnation, n.quarantineVersion)
-		node.inputs = append(node.inputs, QuarantineRead{Records: n.storedQuarantine(), Whole: true})
+		node.inputs = append(node.inputs, QuarantineRead{Records: n.storedQuarantine(), Complete: true})
 	}
 }
--- a/internal/system/system.go
+++ b/internal/system/system.go
@@ -49,8 +49,8 @@
 	From  uint64
 	Batch store.Batch
 	Err   error
-	// Asked is the boot time at which the read began, or zero if it was not recorded.
-	Asked time.Duration
+	// StartedAt is the boot time at which the read began, or zero if it was not recorded.
+	StartedAt time.Duration
 }
 
 // Announced is an upstream's announcement to the daemon on its VM.
@@ -58,15 +58,15 @@
 	Local table.Local
 }
 
-// Withdrawn reports that an upstream is draining and takes no new calls.
-type Withdrawn struct{ ID string }
+// Deregistered reports that an upstream is draining and takes no new calls.
+type Deregistered struct{ ID string }
 
 // Removed reports that an upstream's process is about to exit.
 type Removed struct {
 	// Name is the upstream's own name for itself on this VM.
 	Name string
-	// Born is when the exiting incarnation began, or zero for the one in the table.
-	Born int64
+	// StartedMs is when the exiting incarnation began, or zero for the one in the table.
+	StartedMs int64
 }
 
 // SeedsFound carries addresses of daemons that were read from the log.
@@ -119,20 +119,20 @@
 	// ReadQuarantine requests a read of the quarantined requests in the store.
 	// KeepQuarantine are records to write to the store, DropQuarantine are records to
 	// delete from it.
-	ReadQuarantine bool
-	KeepQuarantine []suspect.Record
-	DropQuarantine []suspect.Digest
+	ReadQuarantine   bool
+	StoreQuarantine  []suspect.Record
+	DeleteQuarantine []suspect.Digest
 	// Quarantined are the requests that entered quarantine in this tick.
 	Quarantined []suspect.Record
 	// ReadRollouts requests a read of the rollout records in the store. AgreeRollouts are
 	// records to write there, each only if nobody else has written meanwhile.
 	// TellRollouts are records whose phase is to be published in the store for operators.
-	ReadRollouts  bool
-	AgreeRollouts []rollout.Record
-	TellRollouts  []rollout.Record
-	// Stamp is the last time at which the configuration held was known to be the newest,
+	ReadRollouts    bool
+	CommitRollouts  []rollout.Record
+	PublishRollouts []rollout.Record
+	// FreshAt is the last time at which the configuration held was known to be the newest,
 	// or zero if it never was.
-	Stamp freshness.Stamp
+	FreshAt freshness.Timestamp
 	// Refresh requests a new view for the call path.
 	Refresh bool
 }
@@ -175,7 +175,7 @@
 	case Closed:
 		removeLink(w, now, v, out)
 	case DialFailed:
-		w.Fail(v.Addr, now)
+		w.RecordDialFailure(v.Addr, now)
 	case Received:
 		receiveMessage(w, now, v, out)
 	case LogRead:
@@ -184,7 +184,7 @@
 		receiveDocument(w, now, v, out)
 	case Announced:
 		receiveAnnouncement(w, now, v.Local, out)
-	case Withdrawn:
+	case Deregistered:
 		drainUpstream(w, v.ID, out)
 	case Removed:
 		removeUpstream(w, now, v, out)
@@ -194,13 +194,13 @@
 		receiveSelfListed(w, now, v)
 	case QuarantineRead:
 		receiveStoredQuarantine(w, v)
-	case Ordered:
+	case OrdersRead:
 		receiveOrders(w, v, out)
 	case RolloutsRead:
 		receiveStoredRollouts(w, now, v, out)
-	case RolloutTold:
+	case RolloutPublished:
 		receiveRolloutPublished(w, v.Record)
-	case Suspected: // runSuspects reads the change from the table
+	case SuspectsChanged: // runSuspects reads the change from the table
 	case Leave:
 		w.Self.Leaving = true
 		touchSelf(w)
@@ -234,9 +234,9 @@
 		mergeMembers(w, now, l.ID, m, out)
 	case wire.MembersPull:
 		answerMembersPull(w, now, l, m, out)
-	case wire.MembersBrief:
+	case wire.MembersDigests:
 		requestUnknownMembers(w, l, m, out)
-	case wire.MembersWant:
+	case wire.MembersRequest:
 		answerMembersWant(w, now, l, m, out)
 	case wire.Pull:
 		answerPull(w, now, l, m, out)
@@ -252,7 +252,7 @@
 		receivePeerRollouts(w, now, l, m, out)
 	case wire.Tally:
 		receiveTally(w, l, m, out)
-	case wire.Vouch:
+	case wire.FreshnessConfirmation:
 		receiveConfirmation(w, l, m)
 	}
 }
--- a/internal/system/system_test.go
+++ b/internal/system/system_test.go
@@ -114,7 +114,7 @@
 	n.run(10 * time.Second)
 	root := n.nodes[0]
 	is.True(root.w.Alarms[AlarmGap] != "")
-	is.Equal(root.w.Self.Beat.Applied, uint64(1)) // it keeps serving what it held
+	is.Equal(root.w.Self.Heartbeat.Applied, uint64(1)) // it keeps serving what it held
 	end := n.logEnd()
 	n.run(10 * time.Second)
 	is.Equal(n.logEnd(), end) // no daemon appends a checkpoint that nobody can use
@@ -125,7 +125,7 @@
 	is.NoErr(err)
 	n.publish("b", "put service s2")
 	n.converge(20 * time.Second)
-	is.True(root.w.Self.Beat.Applied > 1)
+	is.True(root.w.Self.Heartbeat.Applied > 1)
 	is.Equal(root.w.Alarms[AlarmGap], "")
 }
 
@@ -142,7 +142,7 @@
 	n.publish("early", "put service early")
 	n.run(5 * time.Second)
 	for _, node := range n.nodes {
-		is.Equal(node.w.Self.Beat.Applied, uint64(2)) // nothing of the new log is applied yet
+		is.Equal(node.w.Self.Heartbeat.Applied, uint64(2)) // nothing of the new log is applied yet
 	}
 	root := n.nodes[0]
 	data, err := CheckpointRecord(root.w.Config.State, "operator", true)
@@ -153,7 +153,7 @@
 	n.converge(20 * time.Second)
 	_, ok := root.w.Config.State.Content.Services["s3"]
 	is.True(ok)
-	is.True(root.w.Self.Beat.Applied > 2)
+	is.True(root.w.Self.Heartbeat.Applied > 2)
 }
 
 // TestIsolatedDaemonDoesNotServeEmptyConfig restarts a daemon that can reach neither the
@@ -212,7 +212,7 @@
 	is.True(!first.w.Ready) // it must not serve version 1
 	is.True(first.w.Alarms[AlarmFloor] != "")
 	n.converge(20 * time.Second)
-	is.True(first.w.Self.Beat.Applied >= highest)
+	is.True(first.w.Self.Heartbeat.Applied >= highest)
 }
 
 // stateAt returns the state that results from the records of the log before the position.
@@ -255,6 +255,6 @@
 	}
 	n.converge(10 * time.Second)
 	for _, node := range n.nodes {
-		is.Equal(node.w.Self.Beat.Applied, uint64(1))
+		is.Equal(node.w.Self.Heartbeat.Applied, uint64(1))
 	}
 }
--- a/internal/system/tallies.go
+++ b/internal/system/tallies.go
@@ -17,7 +17,7 @@
 
 // judgeRollout stops the rollout of a version that performs worse than the others.
 func judgeRollout(w *table.World, r *table.Rollout, target []string, others int, out *Outbox) {
-	canaries := w.Plan(r.Duration).Choose(target, others)
+	canaries := w.Plan(r.Duration).ChooseCanaries(target, others)
 	if why := rollout.Judge(r.Tally(), len(canaries)); why != "" {
 		stopRollout(w, r, why, out)
 	}
@@ -38,13 +38,13 @@
 		if !r.Live() {
 			continue
 		}
-		t := wire.Tally{Service: service, Order: r.ID, Rows: subtreeRows(w, r)}
+		t := wire.Tally{Service: service, OrderID: r.ID, Rows: subtreeRows(w, r)}
 		if parent := w.LinkTo(w.MembersTree.Parent); parent != nil && w.MembersTree.Parent != "" {
 			if parent.TakesRollouts && len(t.Rows) > 0 {
 				out.send(parent.ID, t)
 			}
 		} else {
-			t.Domain, t.By = w.Self.Domain, w.Self.ID
+			t.Domain, t.AggregatedBy = w.Self.Domain, w.Self.ID
 			r.Domains[t.Domain] = t
 		}
 		if w.MembersTree.Root {
@@ -58,7 +58,7 @@
 	sum := rollout.Tally{}
 	sum.Add(r.Evidence.Rows())
 	for _, l := range w.Links {
-		if t := l.Tallies[r.Service]; t.Order == r.ID && !l.Dialed && l.Domain == w.Self.Domain {
+		if t := l.Tallies[r.Service]; t.OrderID == r.ID && !l.Dialed && l.Domain == w.Self.Domain {
 			sum.Add(t.Rows)
 		}
 	}
@@ -76,7 +76,7 @@
 			continue
 		}
 		for _, domain := range sortedKeys(r.Domains) {
-			if t := r.Domains[domain]; len(t.Rows) > 0 && t.By != l.Peer && (sameDomain || domain == w.Self.Domain) {
+			if t := r.Domains[domain]; len(t.Rows) > 0 && t.AggregatedBy != l.Peer && (sameDomain || domain == w.Self.Domain) {
 				out.send(l.ID, t)
 			}
 		}
@@ -86,7 +86,7 @@
 // receiveTally records a tally from a peer.
 func receiveTally(w *table.World, l *table.Link, t wire.Tally, out *Outbox) {
 	r := w.Rollouts[t.Service]
-	if r == nil || r.ID != t.Order || !r.Live() {
+	if r == nil || r.ID != t.OrderID || !r.Live() {
 		return // the rollout has ended or is not known here yet
 	}
 	if !rollout.ValidRows(t.Rows) {
@@ -100,7 +100,7 @@
 		l.Tallies[t.Service] = t
 		return
 	}
-	if old := r.Domains[t.Domain]; old.By != t.By || countCalls(t) >= countCalls(old) {
+	if old := r.Domains[t.Domain]; old.AggregatedBy != t.AggregatedBy || countCalls(t) >= countCalls(old) {
 		r.Domains[t.Domain] = t
 	}
 }
--- a/internal/system/converge_test.go
+++ b/internal/system/testnet_converge_test.go
@@ -57,7 +57,7 @@
 		switch {
 		case w.Config.State.Position != batch.End:
 			return fmt.Sprintf("%s holds position %d of %d, alarms %v", node.id, w.Config.State.Position, batch.End, w.Alarms)
-		case !w.Ready || w.Self.Beat.Applied != w.Config.State.Version:
+		case !w.Ready || w.Self.Heartbeat.Applied != w.Config.State.Version:
 			return node.id + " is not ready, or serves an older version than it holds"
 		}
 		for _, other := range n.nodes {
--- a/internal/system/net_test.go
+++ b/internal/system/testnet_test.go
@@ -342,7 +342,7 @@
 		if unreachable {
 			batch, err = store.Batch{}, context.DeadlineExceeded
 		}
-		node.inputs = append(node.inputs, LogRead{From: out.ReadFrom, Batch: batch, Err: err, Asked: n.bootTime(node)})
+		node.inputs = append(node.inputs, LogRead{From: out.ReadFrom, Batch: batch, Err: err, StartedAt: n.bootTime(node)})
 	}
 	if out.Append != nil && !unreachable {
 		// The system under test must cope with failed appends.
@@ -360,7 +360,7 @@
 	}
 	n.hashAt[position] = s.Hash
 	if node.w.Ready {
-		applied := node.w.Self.Beat.Applied
+		applied := node.w.Self.Heartbeat.Applied
 		if n.checkFloor && applied < node.highestApplied {
 			n.fatalf("%s: version went back from %d to %d (incarnation %d)", node.id, node.highestApplied, applied, node.incarnation)
 		}
--- a/internal/system/topology.go
+++ b/internal/system/topology.go
@@ -123,7 +123,7 @@
 	out.ReadLog = w.MembersTree.Root && mayReadLog(w, now) && !orphanBacksOff(w, now, rank)
 	out.ReadFrom = readFrom(w)
 	out.ReadAfter = w.Log.ReadAfter
-	out.ReadWait = documentWait(w)
+	out.ReadWait = documentReadWait(w)
 	if parent != oldParent {
 		out.event(event.Event{Kind: event.ParentChanged, Peer: parent})
 	}
@@ -135,13 +135,13 @@
 // chooseCoordinators records the first member of each failure domain as its limit
 // coordinator, if the configuration has workspaces.
 func chooseCoordinators(w *table.World) {
-	if w.Keepers != nil || len(w.Config.State.Content.Workspaces) == 0 {
+	if w.LimitCoordinators != nil || len(w.Config.State.Content.Workspaces) == 0 {
 		return
 	}
-	w.Keepers = map[string]wire.Member{}
+	w.LimitCoordinators = map[string]wire.Member{}
 	for _, domain := range w.Domains() {
 		if members := order(w, domain); len(members) > 0 {
-			w.Keepers[domain] = members[0]
+			w.LimitCoordinators[domain] = members[0]
 		}
 	}
 }
@@ -165,17 +165,17 @@
 // misses meanwhile.
 func orphanBacksOff(w *table.World, now time.Time, rank int) bool {
 	if rank < w.Params.Roots {
-		w.Log.RestEvery = 0
+		w.Log.OrphanReadPause = 0
 		return false
 	}
-	return w.Log.RestEvery > 0 && now.Before(w.Log.RestUntil)
+	return w.Log.OrphanReadPause > 0 && now.Before(w.Log.OrphanReadAfter)
 }
 
 // backOffReads lengthens the pause between the reads of a daemon without a parent.
 func backOffReads(w *table.World, now time.Time) {
 	if w.MembersTree.Rank >= w.Params.Roots {
-		w.Log.RestEvery = min(max(2*w.Log.RestEvery, minOrphanReadPause), maxOrphanReadPause)
-		w.Log.RestUntil = now.Add(w.Log.RestEvery)
+		w.Log.OrphanReadPause = min(max(2*w.Log.OrphanReadPause, minOrphanReadPause), maxOrphanReadPause)
+		w.Log.OrphanReadAfter = now.Add(w.Log.OrphanReadPause)
 	}
 }
 
--- a/internal/system/upstream.go
+++ b/internal/system/upstream.go
@@ -18,14 +18,14 @@
 		return
 	}
 	removeDisplaced(w, now, a, out)
-	if old == nil || old.Life != a.Life || old.Addr != a.Addr {
-		a.Since = now.UnixMilli()
+	if old == nil || old.Incarnation != a.Incarnation || old.Addr != a.Addr {
+		a.AnnouncedAtMs = now.UnixMilli()
 		w.Locals[a.ID] = &a
 		out.event(event.Event{Kind: event.UpstreamUp, Service: a.Service, Peer: a.ID})
 		publishLocals(w)
 		return
 	}
-	a.Since = old.Since
+	a.AnnouncedAtMs = old.AnnouncedAtMs
 	a.Ramped = old.Ramped
 	a.Draining = a.Draining || old.Draining
 	changed := a.Upstream != old.Upstream || a.Conns != old.Conns
@@ -41,11 +41,11 @@
 // isPastIncarnation reports whether an announcement belongs to an incarnation that has
 // exited, or that was followed by a later one of the same name.
 func isPastIncarnation(w *table.World, a table.Local) bool {
-	if d, ok := w.Departed[a.Name]; ok && a.Born <= d.Born {
+	if d, ok := w.Departed[a.Name]; ok && a.StartedMs <= d.StartedMs {
 		return true
 	}
 	for _, row := range w.Locals {
-		if row.Name == a.Name && row.Born > a.Born {
+		if row.Name == a.Name && row.StartedMs > a.StartedMs {
 			return true
 		}
 	}
@@ -55,7 +55,7 @@
 // isOutOfOrder reports whether a later announcement of the same incarnation was received
 // before this one.
 func isOutOfOrder(old *table.Local, a table.Local) bool {
-	return old != nil && old.Life == a.Life && a.Sequence != 0 && a.Sequence <= old.Sequence
+	return old != nil && old.Incarnation == a.Incarnation && a.Sequence != 0 && a.Sequence <= old.Sequence
 }
 
 // removeDisplaced removes upstreams whose address was taken over by another process.
@@ -65,7 +65,7 @@
 	}
 	for _, id := range sortedKeys(w.Locals) {
 		if row := w.Locals[id]; id != a.ID && row.Addr == a.Addr {
-			recordDeparture(w, now, row.Name, row.Born)
+			recordDeparture(w, now, row.Name, row.StartedMs)
 			removeLocal(w, row, out)
 		}
 	}
@@ -78,13 +78,13 @@
 // removeUpstream removes an upstream that is about to exit. A late report does not remove
 // a later incarnation of the same name.
 func removeUpstream(w *table.World, now time.Time, r Removed, out *Outbox) {
-	born := r.Born
+	born := r.StartedMs
 	for _, id := range sortedKeys(w.Locals) {
 		row := w.Locals[id]
-		if row.Name != r.Name || r.Born != 0 && row.Born > r.Born {
+		if row.Name != r.Name || r.StartedMs != 0 && row.StartedMs > r.StartedMs {
 			continue
 		}
-		born = max(born, row.Born)
+		born = max(born, row.StartedMs)
 		removeLocal(w, row, out)
 	}
 	if _, known := w.Departed[r.Name]; born == 0 && !known {
@@ -96,13 +96,13 @@
 // recordDeparture records that an incarnation has exited, so that its late announcements
 // do not bring it back.
 func recordDeparture(w *table.World, now time.Time, name string, born int64) {
-	w.Departed[name] = table.Departure{Born: max(born, w.Departed[name].Born), Until: now.Add(departedRetention)}
+	w.Departed[name] = table.Departure{StartedMs: max(born, w.Departed[name].StartedMs), Until: now.Add(departedRetention)}
 }
 
 // removeLocal deletes the row of an upstream and publishes the change.
 func removeLocal(w *table.World, row *table.Local, out *Outbox) {
 	delete(w.Locals, row.ID)
-	out.event(event.Event{Kind: event.UpstreamGone, Service: row.Service, Peer: row.ID})
+	out.event(event.Event{Kind: event.UpstreamRemoved, Service: row.Service, Peer: row.ID})
 	publishLocals(w)
 }
 
@@ -138,7 +138,7 @@
 
 func updateRamp(w *table.World, now time.Time, row *table.Local, out *Outbox) {
 	s, ok := w.Config.State.Content.Services[row.Service]
-	if row.Ramped || !ok || now.Before(time.UnixMilli(row.Since).Add(s.Ramp)) {
+	if row.Ramped || !ok || now.Before(time.UnixMilli(row.AnnouncedAtMs).Add(s.Ramp)) {
 		return
 	}
 	row.Ramped = true
--- a/internal/system/upstream_test.go
+++ b/internal/system/upstream_test.go
@@ -21,7 +21,7 @@
 	n.converge(5 * time.Second)
 	w := n.nodes[0].w
 	announced := func(incarnation string) table.Local {
-		return table.Local{Upstream: wire.Upstream{ID: "vm/up", Service: "s", Slots: 4}, Name: "vm/up", Life: incarnation, Addr: "127.0.0.1:1", Conns: 4}
+		return table.Local{Upstream: wire.Upstream{ID: "vm/up", Service: "s", Slots: 4}, Name: "vm/up", Incarnation: incarnation, Addr: "127.0.0.1:1", Conns: 4}
 	}
 	now := n.now
 	tick := func(after time.Duration, in ...Input) (kinds []event.Kind) {
@@ -40,12 +40,12 @@
 	is.Equal(len(tick(1500*time.Millisecond, Announced{announced("one")})), 0) // a renewal
 	is.Equal(tick(time.Second, Announced{announced("one")}), []event.Kind{event.UpstreamRamped})
 	is.Equal(len(tick(time.Second, Announced{announced("one")})), 0)
-	is.Equal(tick(0, Withdrawn{"vm/up"}), []event.Kind{event.UpstreamDraining})
+	is.Equal(tick(0, Deregistered{"vm/up"}), []event.Kind{event.UpstreamDraining})
 	is.Equal(serving(), 0)
 	is.Equal(len(tick(0, Announced{announced("one")})), 0) // a late renewal does not revive it
 	is.Equal(serving(), 0)
 	is.Equal(tick(0, Announced{announced("two")}), []event.Kind{event.UpstreamUp}) // its next incarnation is served
 	is.Equal(serving(), 1)
-	is.Equal(tick(w.Params.UpstreamLapse+time.Millisecond), []event.Kind{event.UpstreamGone}) // its announcements stopped
+	is.Equal(tick(w.Params.UpstreamLapse+time.Millisecond), []event.Kind{event.UpstreamRemoved}) // its announcements stopped
 	is.Equal(serving(), 0)
 }
--- a/internal/system/versions.go
+++ b/internal/system/versions.go
@@ -33,7 +33,7 @@
 	for service, versions := range firstSeen {
 		if v, until := versionOnProbation(versions, now, w.Params.InForce); v != "" {
 			probation[service] = v
-			w.VersionsDue = earlier(w.VersionsDue, until)
+			w.VersionsDue = earliestTime(w.VersionsDue, until)
 		}
 	}
 	if len(probation) != len(w.Probation) {
@@ -59,7 +59,7 @@
 	return latest, versions[latest].Add(probation)
 }
 
-func earlier(a, b time.Time) time.Time {
+func earliestTime(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
 	}
--- a/internal/table/link.go
+++ b/internal/table/link.go
@@ -49,14 +49,14 @@
 	TakesSuspects bool
 	// TakesRollouts is set if the other end accepts the states of rollouts.
 	TakesRollouts bool
-	// TakesVouches is set if the other end accepts confirmations of freshness.
-	TakesVouches bool
+	// TakesConfirmations is set if the other end accepts confirmations of freshness.
+	TakesConfirmations bool
 	// Pings holds the send times of the last pings.
-	Pings freshness.Echoes
-	// Vouch is the other end's last confirmation of the freshness of its configuration;
+	Pings freshness.SendTimes
+	// Confirmation is the other end's last confirmation of the freshness of its configuration;
 	// Vouched is the timestamp in the last confirmation sent to it.
-	Vouch   Vouch
-	Vouched freshness.Stamp
+	Confirmation     Confirmation
+	ConfirmationSent freshness.Timestamp
 	// Tallies are the counts of calls during rollouts that the other end has gathered
 	// from its own calls and from the daemons beyond it, by service.
 	Tallies map[string]wire.Tally
@@ -96,8 +96,8 @@
 	maxBackoff = 15 * time.Second
 )
 
-// Fail records a failed attempt to dial the address and doubles its backoff.
-func (w *World) Fail(addr string, now time.Time) {
+// RecordDialFailure records a failed attempt to dial the address and doubles its backoff.
+func (w *World) RecordDialFailure(addr string, now time.Time) {
 	b := w.backoff(addr)
 	b.Dialing = false
 	wait := minBackoff << min(b.Failures, 10)
@@ -107,15 +107,15 @@
 	b.Until = now.Add(wait/2 + jitter)
 }
 
-// Postpone records that the daemon at the address asked not to be dialed before until.
-func (w *World) Postpone(addr string, until time.Time) {
+// DeferDial records that the daemon at the address asked not to be dialed before until.
+func (w *World) DeferDial(addr string, until time.Time) {
 	b := w.backoff(addr)
 	b.Dialing = false
 	b.Until = until
 }
 
-// Reach records that the address was reached, which ends its backoff.
-func (w *World) Reach(addr string) { delete(w.Backoffs, addr) }
+// ClearBackoff records that the address was reached, which ends its backoff.
+func (w *World) ClearBackoff(addr string) { delete(w.Backoffs, addr) }
 
 // Reachable reports whether the address may be dialed now.
 func (w *World) Reachable(addr string, now time.Time) bool {
@@ -149,12 +149,12 @@
 	// Name is the upstream's name on this VM. The ID identifies one incarnation of it, so
 	// that nothing recorded of an earlier incarnation is applied to this one.
 	Name string
-	// Life identifies this incarnation of the upstream.
-	Life string
-	// Born is when this incarnation began, in Unix milliseconds by the upstream's own
+	// Incarnation identifies this incarnation of the upstream.
+	Incarnation string
+	// StartedMs is when this incarnation began, in Unix milliseconds by the upstream's own
 	// clock. Of two incarnations with the same name the later one is current. Zero if
 	// unknown.
-	Born int64
+	StartedMs int64
 	// Addr is the address at which the upstream accepts calls.
 	Addr string
 	// Conns is the maximum number of connections to the upstream.
--- a/internal/table/member.go
+++ b/internal/table/member.go
@@ -65,7 +65,7 @@
 		return
 	}
 	w.derived.orders, w.derived.ordersStale, w.derived.ordersRenewedAt = nil, false, now
-	w.Keepers = nil
+	w.LimitCoordinators = nil
 }
 
 // EachLive calls f for this daemon and for each member that has not lapsed.
@@ -78,8 +78,8 @@
 	}
 }
 
-// Forget removes a member's row.
-func (w *World) Forget(id string) {
+// RemoveMember removes a member's row.
+func (w *World) RemoveMember(id string) {
 	delete(w.Members, id)
 	w.derived.holders = nil // the member may have held an address
 	w.MembersChanged()
@@ -153,15 +153,15 @@
 	if w.derived.holders == nil {
 		w.derived.holders = map[string]holder{w.Self.Owner: {id: w.Self.ID, incarnation: w.Self.Incarnation}}
 		for _, row := range w.Members {
-			w.Hold(row.Member)
+			w.ClaimAddress(row.Member)
 		}
 	}
 	return w.derived.holders
 }
 
-// Hold records the owner address at which a member has started. It returns the ID of the
+// ClaimAddress records the owner address at which a member has started. It returns the ID of the
 // member that held the address before and lost it, or "".
-func (w *World) Hold(m wire.Member) (lost string) {
+func (w *World) ClaimAddress(m wire.Member) (lost string) {
 	holders := w.holders()
 	current, taken := holders[m.Owner]
 	if taken && current.id != m.ID && current.incarnation >= m.Incarnation {
--- a/internal/table/rollout.go
+++ b/internal/table/rollout.go
@@ -14,13 +14,13 @@
 	// this daemon's clock.
 	Since      time.Time
 	PhaseSince time.Time
-	// Stop is the reason why the new version gets no more calls here, before the store
+	// StopReason is the reason why the new version gets no more calls here, before the store
 	// has recorded that the rollout is reverted; else "".
-	Stop string
-	// Held is set if the store holds the record, Told if the store also holds the phase
+	StopReason string
+	// Stored is set if the store holds the record, Told if the store also holds the phase
 	// where operators can read it.
-	Held bool
-	Told bool
+	Stored    bool
+	Published bool
 	// Evidence counts the calls that this daemon sees. It is shared with the call path.
 	Evidence *rollout.Evidence
 	// Domains holds the counts of each failure domain. Only roots have them.
@@ -33,8 +33,8 @@
 	Due time.Time
 	// News is set if a change has not been sent to other daemons yet; From is the
 	// connection on which the change arrived, zero if it was made here.
-	From LinkID
-	News bool
+	From   LinkID
+	Unsent bool
 }
 
 // Live reports whether the rollout is still in progress.
--- a/internal/table/world.go
+++ b/internal/table/world.go
@@ -108,10 +108,10 @@
 	// MembersAt is when another member's record last changed, renewals excepted.
 	MembersAt   time.Time
 	MembersTree Tree
-	// Keepers are the limit coordinators, by failure domain: the domain's first member,
+	// LimitCoordinators are the limit coordinators, by failure domain: the domain's first member,
 	// which counts calls against the rate limits of workspaces.
-	Keepers map[string]wire.Member
-	Links   map[LinkID]*Link
+	LimitCoordinators map[string]wire.Member
+	Links             map[LinkID]*Link
 	// Backoffs holds the backoff of each unreachable address.
 	Backoffs map[string]*Backoff
 	// Locals are the upstreams on this VM, by ID.
@@ -166,7 +166,7 @@
 // Freshness is the freshness of the configuration held: when it was last known to be the
 // newest.
 type Freshness struct {
-	Stamp freshness.Stamp
+	Timestamp freshness.Timestamp
 	// From is the connection on which the timestamp arrived; zero if it comes from
 	// reading the store.
 	From LinkID
@@ -174,19 +174,19 @@
 	Known bool
 }
 
-// Vouch is another daemon's confirmation of the freshness of the configuration that it held
+// Confirmation is another daemon's confirmation of the freshness of the configuration that it held
 // at Base and Position.
-type Vouch struct {
-	Base     uint64
-	Position uint64
-	Stamp    freshness.Stamp
+type Confirmation struct {
+	Base      uint64
+	Position  uint64
+	Timestamp freshness.Timestamp
 }
 
 // Departure records that an incarnation of an upstream has ended.
 type Departure struct {
-	// Born is when that incarnation began. Announcements of it and of earlier ones are
+	// StartedMs is when that incarnation began. Announcements of it and of earlier ones are
 	// late and are ignored.
-	Born int64
+	StartedMs int64
 	// Until is until when late announcements are expected.
 	Until time.Time
 }
@@ -213,8 +213,8 @@
 	Since time.Time
 	// History holds the last records, up to State.Position.
 	History [][]byte
-	// Past holds the deltas that led to the current document, the oldest first.
-	Past []Step
+	// Deltas holds the deltas that led to the current document, the oldest first.
+	Deltas []Step
 	// Floor is the highest version that a peer saw this daemon apply, in any of its
 	// incarnations.
 	Floor uint64
@@ -259,10 +259,10 @@
 	Scan     uint64
 	// ReadAfter is the earliest time of the next read.
 	ReadAfter time.Time
-	// RestUntil and RestEvery are the end and the length of the pause between reads of a
+	// OrphanReadAfter and RestEvery are the end and the length of the pause between reads of a
 	// daemon that reads the log only because it has no parent.
-	RestUntil time.Time
-	RestEvery time.Duration
+	OrphanReadAfter time.Time
+	OrphanReadPause time.Duration
 	// Listing is the state of deciding whether to publish this daemon's addresses on the
 	// log.
 	Listing Listing
@@ -275,12 +275,12 @@
 
 // The states of publishing.
 const (
-	// NotLooked: it is not known yet whether the log has this daemon's addresses.
-	NotLooked Listing = iota
-	// LookAgain: the first look did not find them; a second look is scheduled.
-	LookAgain
-	// Looking: the second look is in progress.
-	Looking
+	// ListingUnknown: it is not known yet whether the log has this daemon's addresses.
+	ListingUnknown Listing = iota
+	// ListingRecheckDue: the first look did not find them; a second look is scheduled.
+	ListingRecheckDue
+	// ListingRechecking: the second look is in progress.
+	ListingRechecking
 	// Listed: the log has the addresses, or they are being published.
 	Listed
 	// Unlisted: they are not published, since the log has enough other daemons'.
@@ -289,8 +289,8 @@
 
 // Quarantine is this daemon's state of the quarantined requests in the store.
 type Quarantine struct {
-	// Held are the store's records, as last read.
-	Held map[suspect.Digest]suspect.Record
+	// Stored are the store's records, as last read.
+	Stored map[suspect.Digest]suspect.Record
 	// Read is set once the store has been read.
 	Read bool
 	// Due is when it is this daemon's turn to change a record in the store, by digest.
@@ -305,10 +305,10 @@
 // Outgoing batches membership changes until the window ends. The values are the connections
 // on which the changes arrived.
 type Outgoing struct {
-	// Full are the members whose whole records are sent, Beats those whose heartbeats
+	// Records are the members whose whole records are sent, Beats those whose heartbeats
 	// are.
-	Full  map[string]LinkID
-	Beats map[string]LinkID
+	Records    map[string]LinkID
+	Heartbeats map[string]LinkID
 	// Due is when the window ends, or zero if the batch is empty.
 	Due time.Time
 }
@@ -328,10 +328,10 @@
 		Locals:      map[string]*Local{},
 		Departed:    map[string]Departure{},
 		Config:      Config{State: config.Empty(), LastCheckpoint: now},
-		Outgoing:    Outgoing{Full: map[string]LinkID{}, Beats: map[string]LinkID{}},
+		Outgoing:    Outgoing{Records: map[string]LinkID{}, Heartbeats: map[string]LinkID{}},
 		Alarms:      map[string]string{},
 		Quarantine: Quarantine{
-			Held: map[suspect.Digest]suspect.Record{}, From: map[suspect.Digest]LinkID{},
+			Stored: map[suspect.Digest]suspect.Record{}, From: map[suspect.Digest]LinkID{},
 		},
 		Suspects:  suspects,
 		Rollouts:  map[string]*Rollout{},
--- a/internal/view/routes.go
+++ b/internal/view/routes.go
@@ -128,7 +128,7 @@
 		next.checkReferences(old, c)
 		next.add(old)
 	}
-	next.Admit(c.Workspaces)
+	next.SetWorkspaces(c.Workspaces)
 	return next
 }
 
@@ -234,8 +234,8 @@
 	return nil
 }
 
-// Admit sets the workspaces whose keys and limits apply to calls.
-func (t *Routes) Admit(workspaces map[string]config.Workspace) {
+// SetWorkspaces sets the workspaces whose keys and limits apply to calls.
+func (t *Routes) SetWorkspaces(workspaces map[string]config.Workspace) {
 	t.keyed = len(workspaces) > 0
 	t.keys = make(map[string]*config.Workspace, len(workspaces))
 	t.limits = map[string]quota.Limit{}
--- a/internal/view/split.go
+++ b/internal/view/split.go
@@ -44,7 +44,7 @@
 		return nil
 	}
 	elapsed := now.Sub(s.since)
-	active := s.windows[s.plan.Turn(max(0, elapsed), len(s.windows))]
+	active := s.windows[s.plan.FirstActive(max(0, elapsed), len(s.windows))]
 	_, fraction := math.Modf(float64(s.counter.Add(1)) * goldenRatioFraction)
 	if fraction >= s.plan.Share(elapsed, len(active.Upstreams), s.others) {
 		return nil
@@ -55,14 +55,14 @@
 // Fallback returns the upstreams of the other versions while calls that find no capacity at
 // the new version may go there, else nil.
 func (s *Split) Fallback(now time.Time) *Service {
-	if s.fallback == nil || now.Sub(s.movingSince) > time.Duration(fallbackFraction*float64(s.plan.CompleteAfter())) {
+	if s.fallback == nil || now.Sub(s.movingSince) > time.Duration(fallbackFraction*float64(s.plan.MoveTimeout())) {
 		return nil
 	}
 	return s.fallback
 }
 
-// Ran describes a call that an upstream has run.
-type Ran struct {
+// CallResult describes a call that an upstream has run.
+type CallResult struct {
 	Route    string
 	Upstream Upstream
 	Failed   bool
@@ -71,17 +71,17 @@
 }
 
 // Note adds a call to the evidence about the new version.
-func (s *Split) Note(now time.Time, r Ran) {
+func (s *Split) Note(now time.Time, r CallResult) {
 	if s.evidence == nil {
 		return
 	}
-	seen := rollout.Seen{
+	seen := rollout.Call{
 		Route: r.Route, Target: r.Upstream.Version == s.target, Moved: !s.movingSince.IsZero(), Failed: r.Failed, Took: r.Took,
 	}
 	if seen.Target && slices.Contains(s.canaries, r.Upstream.ID) {
 		seen.Upstream = r.Upstream.ID
 	}
-	if !s.plan.Warm(now.Sub(s.since)) {
+	if !s.plan.WarmedUp(now.Sub(s.since)) {
 		seen.Took = 0
 	}
 	s.evidence.Note(seen)
@@ -107,8 +107,8 @@
 	}
 }
 
-// RollsOut reports whether the calls of any service are split between versions.
-func (v *View) RollsOut() bool {
+// HasSplit reports whether the calls of any service are split between versions.
+func (v *View) HasSplit() bool {
 	for _, s := range v.Services {
 		if s.Split != nil {
 			return true
@@ -140,7 +140,7 @@
 		if slices.ContainsFunc(s.Upstreams, isTarget) {
 			s.remove(func(u Upstream) bool { return !isTarget(u) })
 		}
-	case r.Live() && r.Stop != "":
+	case r.Live() && r.StopReason != "":
 		s.remove(isTarget)
 	case r.Phase == rollout.Trying:
 		s.Split = v.splitTrial(w, s, r)
@@ -187,12 +187,12 @@
 	}
 	s.remove(func(u Upstream) bool { return u.Version == r.Target })
 	sp.others = len(s.Upstreams)
-	sp.canaries = sp.plan.Choose(ids, sp.others)
+	sp.canaries = sp.plan.ChooseCanaries(ids, sp.others)
 	var ring []Upstream
 	for _, id := range slices.Concat(sp.canaries, sp.canaries) {
 		ring = append(ring, byID[id])
 	}
-	n := sp.plan.AtOnce(len(sp.canaries), sp.others)
+	n := sp.plan.ActiveCanaries(len(sp.canaries), sp.others)
 	for i := range sp.canaries {
 		sp.windows = append(sp.windows, s.subset(r.Target+"\x00"+strconv.Itoa(i), ring[i:i+n]))
 	}
@@ -214,7 +214,7 @@
 		target, ids = append(target, u), append(ids, u.ID)
 	}
 	sp.others = len(others)
-	sp.canaries = sp.plan.Choose(ids, sp.others)
+	sp.canaries = sp.plan.ChooseCanaries(ids, sp.others)
 	if len(target) > 0 {
 		s.Upstreams = target
 		sp.fallback = s.subset("others", others)
--- a/internal/view/split_test.go
+++ b/internal/view/split_test.go
@@ -36,7 +36,7 @@
 // addRollout adds a rollout of v2 in the given phase to the tables.
 func addRollout(w *table.World, now time.Time, phase rollout.Phase) *table.Rollout {
 	order := rollout.Order{ID: 1, Service: "s", Target: "v2", Duration: 10 * time.Second}
-	r := &table.Rollout{Record: order.Begin(rollout.Record{}, now).To(phase, ""), Since: now, PhaseSince: now, Evidence: rollout.NewEvidence()}
+	r := &table.Rollout{Record: order.Begin(rollout.Record{}, now).WithPhase(phase, ""), Since: now, PhaseSince: now, Evidence: rollout.NewEvidence()}
 	w.Rollouts["s"] = r
 	return r
 }
@@ -88,7 +88,7 @@
 		{rollout.Reverted, "", map[string]int{"v1": 3}},
 	} {
 		w := worldWithVersions(now, 3, 2)
-		addRollout(w, now, c.phase).Stop = c.stop
+		addRollout(w, now, c.phase).StopReason = c.stop
 		is.Equal(countVersions(Build(w, nil).Services["s"].Upstreams), c.want)
 	}
 	w := worldWithVersions(now, 3, 2)
@@ -103,7 +103,7 @@
 	addRollout(w, now, rollout.Moving)
 	split := Build(w, nil).Services["s"].Split
 	is.Equal(countVersions(split.Fallback(now).Upstreams), map[string]int{"v1": 3})
-	is.True(split.Fallback(now.Add(w.Plan(10*time.Second).CompleteAfter())) == nil)
+	is.True(split.Fallback(now.Add(w.Plan(10*time.Second).MoveTimeout())) == nil)
 }
 
 // TestOnlyVersionServesAllCalls covers a rollout of a version that is the only one: all
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -39,9 +39,9 @@
 	Split *Split
 }
 
-// Keeper is the limit coordinator of a failure domain: the daemon that counts the domain's
+// LimitCoordinator is the limit coordinator of a failure domain: the daemon that counts the domain's
 // calls against the rate limits of workspaces.
-type Keeper struct {
+type LimitCoordinator struct {
 	Daemon string
 	// Owner is its address.
 	Owner string
@@ -63,8 +63,8 @@
 	// Routes are shared between consecutive views of the same configuration.
 	Routes *Routes
 	Limits config.Limits
-	// Keepers are the limit coordinators, by failure domain.
-	Keepers map[string]Keeper
+	// LimitCoordinators are the limit coordinators, by failure domain.
+	LimitCoordinators map[string]LimitCoordinator
 	// Domains is the least number of failure domains of the deployment.
 	Domains int
 	// Daemons is the number of known daemons, including those whose records have lapsed.
@@ -78,13 +78,13 @@
 func Build(w *table.World, before *View) *View {
 	state := w.Config.State
 	v := &View{
-		Version:  state.Version,
-		Since:    w.Config.Since,
-		Ready:    w.Ready,
-		Leaving:  w.Self.Leaving,
-		Services: make(map[string]*Service, len(state.Content.Services)),
-		Limits:   state.Content.Limits,
-		Keepers:  make(map[string]Keeper, len(w.Keepers)),
+		Version:           state.Version,
+		Since:             w.Config.Since,
+		Ready:             w.Ready,
+		Leaving:           w.Self.Leaving,
+		Services:          make(map[string]*Service, len(state.Content.Services)),
+		Limits:            state.Content.Limits,
+		LimitCoordinators: make(map[string]LimitCoordinator, len(w.LimitCoordinators)),
 	}
 	for name, s := range state.Content.Services {
 		v.Services[name] = &Service{Service: s}
@@ -95,8 +95,8 @@
 	}
 	v.Routes = routes.forState(state)
 	v.Daemons, v.Domains = len(w.Members)+1, w.Params.Domains
-	for domain, m := range w.Keepers {
-		v.Keepers[domain] = Keeper{Daemon: m.ID, Owner: m.Owner, Local: m.ID == w.Self.ID}
+	for domain, m := range w.LimitCoordinators {
+		v.LimitCoordinators[domain] = LimitCoordinator{Daemon: m.ID, Owner: m.Owner, Local: m.ID == w.Self.ID}
 	}
 	w.EachLive(func(m wire.Member) { v.addMember(m, m.ID == w.Self.ID) })
 	for _, s := range v.Services {
@@ -120,7 +120,7 @@
 			continue
 		}
 		s.Upstreams = append(s.Upstreams, Upstream{
-			ID: u.ID, Service: u.Service, Version: u.Version, Slots: u.Slots, Since: time.UnixMilli(u.Since),
+			ID: u.ID, Service: u.Service, Version: u.Version, Slots: u.Slots, Since: time.UnixMilli(u.AnnouncedAtMs),
 			Daemon: m.ID, Incarnation: m.Incarnation, Domain: m.Domain, Owner: m.Owner, Local: local,
 		})
 	}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -17,10 +17,10 @@
 		return decodeAs[Members](body)
 	case MethodMembersPull:
 		return decodeAs[MembersPull](body)
-	case MethodMembersBrief:
-		return decodeAs[MembersBrief](body)
-	case MethodMembersWant:
-		return decodeAs[MembersWant](body)
+	case MethodMembersDigests:
+		return decodeAs[MembersDigests](body)
+	case MethodMembersRequest:
+		return decodeAs[MembersRequest](body)
 	case MethodPull:
 		return decodeAs[Pull](body)
 	case MethodRecords:
@@ -37,8 +37,8 @@
 		return decodeAs[Rollouts](body)
 	case MethodTally:
 		return decodeAs[Tally](body)
-	case MethodVouch:
-		return decodeAs[Vouch](body)
+	case MethodFreshnessConfirmation:
+		return decodeAs[FreshnessConfirmation](body)
 	}
 	return nil, errors.Errorf("control message of unknown method %q", method)
 }
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -19,10 +19,10 @@
 	Version string `json:"version,omitempty"`
 	// Slots is how many calls the upstream runs concurrently.
 	Slots int `json:"slots"`
-	// Since is when the upstream announced itself, in Unix milliseconds of
+	// AnnouncedAtMs is when the upstream announced itself, in Unix milliseconds of
 	// its daemon's clock. It is used only to ramp up the upstream's share of calls.
-	Since    int64 `json:"since"`
-	Draining bool  `json:"draining,omitempty"`
+	AnnouncedAtMs int64 `json:"since"`
+	Draining      bool  `json:"draining,omitempty"`
 }
 
 // Member is a daemon's record of itself. Only that daemon writes it; of two
@@ -43,7 +43,7 @@
 	Seq         uint64     `json:"seq"`
 	Leaving     bool       `json:"leaving,omitempty"`
 	Upstreams   []Upstream `json:"upstreams,omitempty"`
-	Beat        Beat       `json:"beat"`
+	Heartbeat   Heartbeat  `json:"beat"`
 	// AgeMs is how long ago the sender last heard from the member. It keeps a
 	// forwarded copy from looking fresh.
 	AgeMs int64 `json:"age,omitempty"`
@@ -57,19 +57,19 @@
 	return m.Seq > o.Seq
 }
 
-// Beat is a member's heartbeat: it keeps the member's record from lapsing and reports
+// Heartbeat is a member's heartbeat: it keeps the member's record from lapsing and reports
 // the configuration version that the member has in force.
-type Beat struct {
-	N       uint64 `json:"n"`
+type Heartbeat struct {
+	Seq     uint64 `json:"n"`
 	Applied uint64 `json:"v"`
 }
 
-// BeatOf is the heartbeat of a named member, as it is forwarded along the distribution
+// MemberHeartbeat is the heartbeat of a named member, as it is forwarded along the distribution
 // tree.
-type BeatOf struct {
+type MemberHeartbeat struct {
 	ID          string `json:"i"`
 	Incarnation uint64 `json:"c"`
-	Beat
+	Heartbeat
 }
 
 // Hello is the first message that each end sends on a connection.
@@ -88,9 +88,9 @@
 	// Rollouts is the hash of the sender's rollouts. "": the sender does not accept
 	// Rollouts messages.
 	Rollouts string `json:"rollouts,omitempty"`
-	// Vouches is set if the sender accepts Vouch messages.
-	Vouches bool `json:"vouches,omitempty"`
-	Ping    Ping `json:"ping"`
+	// TakesConfirmations is set if the sender accepts Vouch messages.
+	TakesConfirmations bool `json:"vouches,omitempty"`
+	Ping               Ping `json:"ping"`
 }
 
 // Ping is the heartbeat of a connection. It identifies the configuration and the
@@ -110,28 +110,28 @@
 
 // Members carries member records and heartbeats.
 type Members struct {
-	Full  []Member `json:"full,omitempty"`
-	Beats []BeatOf `json:"beats,omitempty"`
+	Records    []Member          `json:"full,omitempty"`
+	Heartbeats []MemberHeartbeat `json:"beats,omitempty"`
 }
 
 // MembersPull requests the members in those buckets whose digest differs between the
 // two ends.
 type MembersPull struct {
-	// Buckets holds the sender's digest of each bucket.
-	Buckets []uint64 `json:"buckets"`
-	// Brief requests a MembersBrief instead of whole records.
-	Brief bool `json:"brief,omitempty"`
+	// BucketDigests holds the sender's digest of each bucket.
+	BucketDigests []uint64 `json:"buckets"`
+	// DigestsOnly requests a MembersBrief instead of whole records.
+	DigestsOnly bool `json:"brief,omitempty"`
 }
 
-// MembersBrief lists the digests of the members in the buckets that differ. The receiver
+// MembersDigests lists the digests of the members in the buckets that differ. The receiver
 // requests the records that it lacks with MembersWant.
-type MembersBrief struct {
+type MembersDigests struct {
 	// Digests is a sequence of little-endian 8-byte digests in ascending order.
 	Digests []byte `json:"digests"`
 }
 
-// MembersWant requests the records of some of the digests in a MembersBrief.
-type MembersWant struct {
+// MembersRequest requests the records of some of the digests in a MembersBrief.
+type MembersRequest struct {
 	Digests []byte `json:"digests"`
 }
 
@@ -185,28 +185,28 @@
 	// current phase began.
 	AgeMs      int64 `json:"age"`
 	PhaseAgeMs int64 `json:"phase_age"`
-	// Stop is why the new version gets no more calls. It is set before the store
+	// StopReason is why the new version gets no more calls. It is set before the store
 	// records the rollout as reverted.
-	Stop string `json:"stop,omitempty"`
+	StopReason string `json:"stop,omitempty"`
 }
 
 // Tally carries the results of a service's calls during a rollout, as counted by
 // several daemons.
 type Tally struct {
 	Service string `json:"service"`
-	// Order is the ID of the rollout order.
-	Order uint64 `json:"order"`
+	// OrderID is the ID of the rollout order.
+	OrderID uint64 `json:"order"`
 	// Domain is the failure domain whose daemons are all included. "": the counts are
 	// those of the sender and of the daemons below it in the distribution tree.
 	Domain string `json:"domain,omitempty"`
-	// By is the daemon that added up the counts of its failure domain.
-	By   string        `json:"by,omitempty"`
-	Rows []rollout.Row `json:"rows"`
+	// AggregatedBy is the daemon that added up the counts of its failure domain.
+	AggregatedBy string        `json:"by,omitempty"`
+	Rows         []rollout.Row `json:"rows"`
 }
 
-// Vouch confirms the freshness of a configuration: it says how long ago the sender's
+// FreshnessConfirmation confirms the freshness of a configuration: it says how long ago the sender's
 // configuration was known to be the newest.
-type Vouch struct {
+type FreshnessConfirmation struct {
 	Base     uint64 `json:"b,omitempty"`
 	Position uint64 `json:"p"`
 	// Echo is the highest Ping.Seq that the sender had received when it computed
@@ -228,21 +228,21 @@
 
 // Method names as sent on the wire.
 const (
-	MethodHello        = "hello"
-	MethodPing         = "ping"
-	MethodMembers      = "members"
-	MethodMembersPull  = "members-pull"
-	MethodMembersBrief = "members-brief"
-	MethodMembersWant  = "members-want"
-	MethodPull         = "pull"
-	MethodRecords      = "records"
-	MethodDelta        = "delta"
-	MethodSnapshot     = "snapshot"
-	MethodBusy         = "busy"
-	MethodSuspects     = "suspects"
-	MethodRollouts     = "rollouts"
-	MethodTally        = "tally"
-	MethodVouch        = "vouch"
+	MethodHello                 = "hello"
+	MethodPing                  = "ping"
+	MethodMembers               = "members"
+	MethodMembersPull           = "members-pull"
+	MethodMembersDigests        = "members-brief"
+	MethodMembersRequest        = "members-want"
+	MethodPull                  = "pull"
+	MethodRecords               = "records"
+	MethodDelta                 = "delta"
+	MethodSnapshot              = "snapshot"
+	MethodBusy                  = "busy"
+	MethodSuspects              = "suspects"
+	MethodRollouts              = "rollouts"
+	MethodTally                 = "tally"
+	MethodFreshnessConfirmation = "vouch"
 )
 
 // Method implements Message.
@@ -258,10 +258,10 @@
 func (MembersPull) Method() string { return MethodMembersPull }
 
 // Method implements Message.
-func (MembersBrief) Method() string { return MethodMembersBrief }
+func (MembersDigests) Method() string { return MethodMembersDigests }
 
 // Method implements Message.
-func (MembersWant) Method() string { return MethodMembersWant }
+func (MembersRequest) Method() string { return MethodMembersRequest }
 
 // Method implements Message.
 func (Pull) Method() string { return MethodPull }
@@ -288,7 +288,7 @@
 func (Tally) Method() string { return MethodTally }
 
 // Method implements Message.
-func (Vouch) Method() string { return MethodVouch }
+func (FreshnessConfirmation) Method() string { return MethodFreshnessConfirmation }
 
 // Envelope wraps a message together with the reading of the sender's logical clock.
 type Envelope struct {
--- a/itest/cmd/upstreamd/main.go
+++ b/itest/cmd/upstreamd/main.go
@@ -68,7 +68,7 @@
 	srv := &http.Server{Handler: u}
 	go srv.Serve(ln)
 	fmt.Println(ln.Addr())
-	n.Life = strconv.FormatInt(time.Now().UnixNano(), 10)
+	n.Incarnation = strconv.FormatInt(time.Now().UnixNano(), 10)
 	n.Addr = ln.Addr().String()
 	return srv
 }
