--- a/internal/admission/served.go
+++ b/internal/admission/served.go
@@ -25,27 +25,27 @@
 }
 
 // decay reduces the counts by the time since the last update.
-func (t *servedAverage) decay(now time.Time) {
-	if elapsed := now.Sub(t.updatedAt); elapsed > 0 {
+func (a *servedAverage) decay(now time.Time) {
+	if elapsed := now.Sub(a.updatedAt); elapsed > 0 {
 		factor := math.Exp(-float64(elapsed) / float64(servedDecayTime))
-		t.offered *= factor
-		t.served *= factor
+		a.offered *= factor
+		a.served *= factor
 	}
-	t.updatedAt = now
+	a.updatedAt = now
 }
 
 // record counts a call that was served or refused.
-func (t *servedAverage) record(now time.Time, served bool) {
-	t.decay(now)
-	t.offered++
+func (a *servedAverage) record(now time.Time, served bool) {
+	a.decay(now)
+	a.offered++
 	if served {
-		t.served++
+		a.served++
 	}
 }
 
 // fraction returns the recently served fraction of the calls.
-func (t *servedAverage) fraction(now time.Time) float64 {
-	t.decay(now)
-	served := min(t.offered, t.served+toleratedRefusals)
-	return (served + priorServed) / (t.offered + priorServed)
+func (a *servedAverage) fraction(now time.Time) float64 {
+	a.decay(now)
+	served := min(a.offered, a.served+toleratedRefusals)
+	return (served + priorServed) / (a.offered + priorServed)
 }
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -13,34 +13,34 @@
 // after which an accepted version must be obeyed by all daemons; zero means that there is no
 // such bound. This is safe because the configuration includes all versions accepted before
 // the timestamp, and one accepted after it need not be obeyed until the bound has passed.
-func (s Timestamp) Fresh(now, bound time.Duration) bool {
-	return bound == 0 || s > 0 && now-time.Duration(s) < bound
+func (t Timestamp) Fresh(now, bound time.Duration) bool {
+	return bound == 0 || t > 0 && now-time.Duration(t) < bound
 }
 
 // Age returns the time since the timestamp.
-func (s Timestamp) Age(now time.Duration) time.Duration { return now - time.Duration(s) }
+func (t Timestamp) Age(now time.Duration) time.Duration { return now - time.Duration(t) }
 
 // FromPeer returns the timestamp for a confirmation from another VM: its configuration had the
 // given age when it had received the message that was sent from here at the time sent. The
 // whole round trip is added to the age, since the clocks of the two VMs cannot be compared.
 func FromPeer(sent, age time.Duration) Timestamp { return Timestamp(max(0, sent-age)) }
 
-// echoWindow is the number of messages whose send times are kept: two seconds' worth at
+// sendTimesKept is the number of messages whose send times are kept: two seconds' worth at
 // eight messages a second. A connection that is silent for longer than that is closed.
-const echoWindow = 16
+const sendTimesKept = 16
 
 // SendTimes keeps the send times of the last numbered messages on a connection.
 type SendTimes struct {
-	seq [echoWindow]uint64
-	at  [echoWindow]time.Duration
+	seq [sendTimesKept]uint64
+	at  [sendTimesKept]time.Duration
 }
 
 // Sent records that the message with the given number was sent. Numbers begin at one.
-func (e *SendTimes) Sent(seq uint64, now time.Duration) {
-	e.seq[seq%echoWindow], e.at[seq%echoWindow] = seq, now
+func (s *SendTimes) Sent(seq uint64, now time.Duration) {
+	s.seq[seq%sendTimesKept], s.at[seq%sendTimesKept] = seq, now
 }
 
 // At returns when a message was sent, or false if that is not known, or not any more.
-func (e *SendTimes) At(seq uint64) (time.Duration, bool) {
-	return e.at[seq%echoWindow], seq > 0 && e.seq[seq%echoWindow] == seq
+func (s *SendTimes) At(seq uint64) (time.Duration, bool) {
+	return s.at[seq%sendTimesKept], seq > 0 && s.seq[seq%sendTimesKept] == seq
 }
--- a/internal/pick/cost.go
+++ b/internal/pick/cost.go
@@ -17,12 +17,12 @@
 // far below the objective, half of the worth if the expected time equals the objective,
 // and all of it far beyond. A linear cost would send calls across failure domains to save
 // milliseconds that nobody notices: it doubled the bytes sent between domains.
-func (p *Picker) upstreamCost(u *view.Upstream, n Criteria, means serviceMeans, now time.Time) float64 {
-	expected := float64(n.Took)*p.slowness(u, means, now) + float64(p.bodyWait(u, n, now))
-	objectiveFraction := expected / float64(max(n.Objective, time.Millisecond))
+func (p *Picker) upstreamCost(u *view.Upstream, c Criteria, means serviceMeans, now time.Time) float64 {
+	expected := float64(c.Took)*p.slowness(u, means, now) + float64(p.bodyWait(u, c, now))
+	objectiveFraction := expected / float64(max(c.Objective, time.Millisecond))
 	late := objectiveFraction * objectiveFraction * objectiveFraction
 	st := p.stats[u.ID]
-	cost := late/(1+late) + objectiveTimeCost*objectiveFraction + p.refusalCostOf(u.Service, st, n.Urgency, now)
+	cost := late/(1+late) + objectiveTimeCost*objectiveFraction + p.refusalCostOf(u.Service, st, c.Urgency, now)
 	if st != nil {
 		cost += errorCost * st.errors * st.errors
 	}
@@ -31,9 +31,9 @@
 
 // bodyWait returns how long the body would wait for the network link of the upstream's
 // VM.
-func (p *Picker) bodyWait(u *view.Upstream, n Criteria, now time.Time) time.Duration {
+func (p *Picker) bodyWait(u *view.Upstream, c Criteria, now time.Time) time.Duration {
 	st := p.stats[u.ID]
-	if n.Body < outcome.LongBody || u.Local || st == nil {
+	if c.Body < outcome.LongBody || u.Local || st == nil {
 		return 0
 	}
 	return max(0, st.load.Intake-now.Sub(st.loadAt))
--- a/internal/pick/pick.go
+++ b/internal/pick/pick.go
@@ -41,19 +41,19 @@
 // Pick returns an upstream that has not been tried yet and counts the attempt as
 // outstanding: Observe and Finished must follow. If no upstream may be used now, the
 // refusal carries the reason and the retry-after time.
-func (p *Picker) Pick(s *view.Service, n Criteria) (u view.Upstream, refusal outcome.Result, ok bool) {
+func (p *Picker) Pick(s *view.Service, c Criteria) (u view.Upstream, refusal outcome.Result, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	p.expire(now)
 	var best *view.Upstream
-	if n.AffinityKey != "" {
-		best = p.home(s, n, now)
+	if c.AffinityKey != "" {
+		best = p.home(s, c, now)
 	} else {
-		best = p.cheapest(p.localityGroupsOf(s), n, p.meansOf(s, now), now)
+		best = p.cheapest(p.localityGroupsOf(s), c, p.meansOf(s, now), now)
 	}
 	if best == nil {
-		return u, p.refusal(s, n, now), false
+		return u, p.refusal(s, c, now), false
 	}
 	p.statsOf(best).outstanding++
 	return *best, outcome.Result{}, true
@@ -65,7 +65,7 @@
 
 // refusal returns the reason why none of a service's upstreams can be used, with the time
 // after which the first of those that sent a retry-after time may be tried again.
-func (p *Picker) refusal(s *view.Service, n Criteria, now time.Time) outcome.Result {
+func (p *Picker) refusal(s *view.Service, c Criteria, now time.Time) outcome.Result {
 	anyReachable, retryAfter := false, time.Duration(0)
 	for i := range s.Upstreams {
 		u := &s.Upstreams[i]
@@ -73,8 +73,8 @@
 			continue
 		}
 		anyReachable = true
-		if st := p.stats[u.ID]; st != nil && now.Before(st.avoidUntil[n.Urgency]) {
-			retryAfter = minNonZero(retryAfter, st.avoidUntil[n.Urgency].Sub(now))
+		if st := p.stats[u.ID]; st != nil && now.Before(st.avoidUntil[c.Urgency]) {
+			retryAfter = minNonZero(retryAfter, st.avoidUntil[c.Urgency].Sub(now))
 		}
 	}
 	switch {
@@ -99,49 +99,49 @@
 // cheapest returns the cheapest of the local upstream, two random ones of this failure
 // domain and two of the other domains. Candidates are random because daemons that all
 // picked the best known upstream would overload it until its next load report.
-func (p *Picker) cheapest(groups *localityGroups, n Criteria, means serviceMeans, now time.Time) *view.Upstream {
+func (p *Picker) cheapest(groups *localityGroups, c Criteria, means serviceMeans, now time.Time) *view.Upstream {
 	var best *view.Upstream
 	least := 0.0
 	consider := func(u *view.Upstream, pathCost float64) {
-		cost := pathCost + p.upstreamCost(u, n, means, now)
+		cost := pathCost + p.upstreamCost(u, c, means, now)
 		if best == nil || cost < least {
 			best, least = u, cost
 		}
 	}
-	if groups.local != nil && p.usable(groups.local, n, now) {
+	if groups.local != nil && p.usable(groups.local, c, now) {
 		consider(groups.local, 0)
 	}
-	for _, u := range p.twoUsable(groups.sameDomain, n, now) {
+	for _, u := range p.twoUsable(groups.sameDomain, c, now) {
 		consider(u, hopCost)
 	}
-	crossDomainCost := float64(n.Bytes) * p.byteCost
+	crossDomainCost := float64(c.Bytes) * p.byteCost
 	if crossDomainCost > maxCrossDomainCost && p.domainReachable(groups) {
 		return best
 	}
-	for _, u := range p.twoUsable(groups.otherDomains, n, now) {
+	for _, u := range p.twoUsable(groups.otherDomains, c, now) {
 		consider(u, hopCost+crossDomainCost)
 	}
 	return best
 }
 
 // home returns the key's upstream among those that may be tried now.
-func (p *Picker) home(s *view.Service, n Criteria, now time.Time) *view.Upstream {
+func (p *Picker) home(s *view.Service, c Criteria, now time.Time) *view.Upstream {
 	var usable []view.Upstream
 	for i := range s.Upstreams {
-		if p.usable(&s.Upstreams[i], n, now) {
+		if p.usable(&s.Upstreams[i], c, now) {
 			usable = append(usable, s.Upstreams[i])
 		}
 	}
-	return Rendezvous(usable, n.AffinityKey)
+	return Rendezvous(usable, c.AffinityKey)
 }
 
 // usable reports whether the upstream may be tried now.
-func (p *Picker) usable(u *view.Upstream, n Criteria, now time.Time) bool {
-	if p.down[u.Owner] || slices.Contains(n.Tried, u.ID) {
+func (p *Picker) usable(u *view.Upstream, c Criteria, now time.Time) bool {
+	if p.down[u.Owner] || slices.Contains(c.Tried, u.ID) {
 		return false
 	}
 	st := p.stats[u.ID]
-	return st == nil || !now.Before(st.avoidUntil[n.Urgency])
+	return st == nil || !now.Before(st.avoidUntil[c.Urgency])
 }
 
 // maxDraws is how many upstreams are drawn at random to find two usable ones before the
@@ -152,10 +152,10 @@
 // twoUsable returns two random upstreams of the list that may be tried now, or fewer if
 // there are not two. Its cost does not grow with the list unless most upstreams are
 // unusable.
-func (p *Picker) twoUsable(list []*view.Upstream, n Criteria, now time.Time) []*view.Upstream {
+func (p *Picker) twoUsable(list []*view.Upstream, c Criteria, now time.Time) []*view.Upstream {
 	var two []*view.Upstream
 	take := func(u *view.Upstream) bool {
-		if !slices.Contains(two, u) && p.usable(u, n, now) {
+		if !slices.Contains(two, u) && p.usable(u, c, now) {
 			two = append(two, u)
 		}
 		return len(two) == 2
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -116,30 +116,30 @@
 }
 
 // Set applies limits, each of which is divided among the given number of failure domains.
-func (k *Coordinator) Set(limits map[string]Limit, domains int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.limits, k.domains = limits, max(1, domains)
-	maps.DeleteFunc(k.buckets, func(name string, _ *bucket) bool { return limits[name].Rate == 0 })
+func (c *Coordinator) Set(limits map[string]Limit, domains int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.limits, c.domains = limits, max(1, domains)
+	maps.DeleteFunc(c.buckets, func(name string, _ *bucket) bool { return limits[name].Rate == 0 })
 }
 
 // HandleReport processes a daemon's report and returns the reply.
-func (k *Coordinator) HandleReport(now time.Duration, r Report) Reply {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.lastReportAt == 0 || now-k.lastReportAt > maxReportGap {
-		k.startCounting(now)
+func (c *Coordinator) HandleReport(now time.Duration, r Report) Reply {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.lastReportAt == 0 || now-c.lastReportAt > maxReportGap {
+		c.startCounting(now)
 	}
-	k.lastReportAt = now
+	c.lastReportAt = now
 	for name, n := range r.Used {
-		if b := k.bucket(now, name); b != nil {
-			b.tokens = min(b.tokens-float64(n), k.capacity(name))
+		if b := c.bucket(now, name); b != nil {
+			b.tokens = min(b.tokens-float64(n), c.capacity(name))
 			b.demand += float64(max(0, n)) / demandAverageSeconds
 		}
 	}
 	reply := Reply{Granted: map[string]int{}, RetryAfterMS: map[string]int64{}}
 	for name, n := range r.Wanted {
-		if b := k.bucket(now, name); b != nil {
+		if b := c.bucket(now, name); b != nil {
 			granted := max(0, min(n, int(math.Floor(b.tokens))))
 			b.tokens -= float64(granted)
 			b.demand += float64(n) / demandAverageSeconds
@@ -149,12 +149,12 @@
 			reply.Granted[name] = n // no limit
 		}
 	}
-	for name := range k.buckets {
-		switch b := k.bucket(now, name); {
-		case b.tokens < k.grantThreshold(name, b, now):
-			reply.RetryAfterMS[name] = k.retryAfter(b, name, now).Milliseconds()
-		case b.idle() && b.tokens >= k.capacity(name):
-			delete(k.buckets, name) // equal to a new bucket
+	for name := range c.buckets {
+		switch b := c.bucket(now, name); {
+		case b.tokens < c.grantThreshold(name, b, now):
+			reply.RetryAfterMS[name] = c.retryAfter(b, name, now).Milliseconds()
+		case b.idle() && b.tokens >= c.capacity(name):
+			delete(c.buckets, name) // equal to a new bucket
 		}
 	}
 	return reply
@@ -168,26 +168,26 @@
 
 // startCounting resets all buckets: the domain's daemons have meanwhile reported to
 // another coordinator, or to none.
-func (k *Coordinator) startCounting(now time.Duration) {
-	k.startedAt = now
-	for _, b := range k.buckets {
+func (c *Coordinator) startCounting(now time.Duration) {
+	c.startedAt = now
+	for _, b := range c.buckets {
 		b.tokens, b.demand, b.denied, b.updatedAt = 0, 0, 0, now
 	}
 }
 
 // bucket returns a workspace's bucket as of now, or nil if the workspace has no limit.
-func (k *Coordinator) bucket(now time.Duration, name string) *bucket {
-	if k.limits[name].Rate == 0 {
+func (c *Coordinator) bucket(now time.Duration, name string) *bucket {
+	if c.limits[name].Rate == 0 {
 		return nil
 	}
-	b := k.buckets[name]
+	b := c.buckets[name]
 	if b == nil {
-		b = &bucket{updatedAt: k.startedAt}
-		k.buckets[name] = b
+		b = &bucket{updatedAt: c.startedAt}
+		c.buckets[name] = b
 	}
 	elapsedSeconds := (now - b.updatedAt).Seconds()
 	if elapsedSeconds > 0 {
-		b.tokens = min(b.tokens+elapsedSeconds*k.rate(name, b, now), k.capacity(name))
+		b.tokens = min(b.tokens+elapsedSeconds*c.rate(name, b, now), c.capacity(name))
 		decay := math.Exp(-elapsedSeconds / demandAverageSeconds)
 		b.demand *= decay
 		b.denied *= decay
@@ -197,41 +197,41 @@
 }
 
 // rate is what this coordinator may give out now, in calls per second.
-func (k *Coordinator) rate(name string, b *bucket, now time.Duration) float64 {
-	return max(0, k.ownRate(name, now)-b.leasedOut.sum(now, "")+b.leasedIn.sum(now, ""))
+func (c *Coordinator) rate(name string, b *bucket, now time.Duration) float64 {
+	return max(0, c.ownRate(name, now)-b.leasedOut.sum(now, "")+b.leasedIn.sum(now, ""))
 }
 
 // ownRate is this failure domain's part of a limit, without leases, in calls per second.
-func (k *Coordinator) ownRate(name string, now time.Duration) float64 {
-	limit := k.limits[name]
+func (c *Coordinator) ownRate(name string, now time.Duration) float64 {
+	limit := c.limits[name]
 	rate := limit.Rate
-	if windowSeconds := k.tolerance.Window.Seconds(); windowSeconds > 0 {
+	if windowSeconds := c.tolerance.Window.Seconds(); windowSeconds > 0 {
 		rate += evenBurstFraction * limit.Burst / windowSeconds
 	}
-	rate /= float64(k.domains)
-	if now-k.startedAt < LeaseDuration {
+	rate /= float64(c.domains)
+	if now-c.startedAt < LeaseDuration {
 		rate *= startupRateFraction
 	}
 	return rate
 }
 
 // capacity is the most tokens that a bucket holds.
-func (k *Coordinator) capacity(name string) float64 {
-	burst := k.limits[name].Burst
-	if k.tolerance.Window > 0 {
+func (c *Coordinator) capacity(name string) float64 {
+	burst := c.limits[name].Burst
+	if c.tolerance.Window > 0 {
 		burst *= 1 - evenBurstFraction
 	}
-	return max(minCapacity, (burst+toleranceCallsFraction*k.tolerance.Calls)/float64(k.domains))
+	return max(minCapacity, (burst+toleranceCallsFraction*c.tolerance.Calls)/float64(c.domains))
 }
 
 // grantThreshold is the number of tokens below which calls need grants.
-func (k *Coordinator) grantThreshold(name string, b *bucket, now time.Duration) float64 {
-	return max(1, min(reserveSeconds*k.rate(name, b, now), k.capacity(name)/2))
+func (c *Coordinator) grantThreshold(name string, b *bucket, now time.Duration) float64 {
+	return max(1, min(reserveSeconds*c.rate(name, b, now), c.capacity(name)/2))
 }
 
 // retryAfter is when a call that got no grant can expect one: once the recently denied
 // calls have been served as well.
-func (k *Coordinator) retryAfter(b *bucket, name string, now time.Duration) time.Duration {
-	wait := (1 - b.tokens + b.denied) / max(k.rate(name, b, now), 1/maxRetryAfter.Seconds())
+func (c *Coordinator) retryAfter(b *bucket, name string, now time.Duration) time.Duration {
+	wait := (1 - b.tokens + b.denied) / max(c.rate(name, b, now), 1/maxRetryAfter.Seconds())
 	return min(max(minRetryAfter, time.Duration(wait*float64(time.Second))), maxRetryAfter)
 }
--- a/internal/quota/lease.go
+++ b/internal/quota/lease.go
@@ -97,14 +97,14 @@
 }
 
 // Needs returns the rates that this coordinator lacks beyond its own, by workspace.
-func (k *Coordinator) Needs(now time.Duration) map[string]float64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (c *Coordinator) Needs(now time.Duration) map[string]float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	needs := map[string]float64{}
-	for name := range k.buckets {
-		b := k.bucket(now, name)
-		ownRate := k.ownRate(name, now)
-		limitRate := ownRate * float64(k.domains)
+	for name := range c.buckets {
+		b := c.bucket(now, name)
+		ownRate := c.ownRate(name, now)
+		limitRate := ownRate * float64(c.domains)
 		if shortfall := min(demandHeadroom*b.demand, limitRate) - ownRate; b.demand > demandThreshold*ownRate && shortfall > minLeaseFraction*limitRate {
 			needs[name] = shortfall
 		}
@@ -114,19 +114,19 @@
 
 // GrantLeases returns the part of the needed rates that this coordinator leases for a Term from
 // now on. It replaces the leases that it granted to that domain before.
-func (k *Coordinator) GrantLeases(now time.Duration, r LeaseRequest) map[string]float64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (c *Coordinator) GrantLeases(now time.Duration, r LeaseRequest) map[string]float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	leasedRates := map[string]float64{}
-	if k.lastReportAt == 0 || now-k.lastReportAt > maxReportGap || now-k.startedAt < LeaseDuration {
+	if c.lastReportAt == 0 || now-c.lastReportAt > maxReportGap || now-c.startedAt < LeaseDuration {
 		return leasedRates // the demand of its own daemons is not known
 	}
 	for name, need := range r.Needs {
-		b := k.bucket(now, name)
+		b := c.bucket(now, name)
 		if b == nil {
 			continue
 		}
-		spare := k.ownRate(name, now) - b.leasedOut.sum(now, r.Domain) - demandHeadroom*b.demand - minLeaseFraction*k.limits[name].Rate
+		spare := c.ownRate(name, now) - b.leasedOut.sum(now, r.Domain) - demandHeadroom*b.demand - minLeaseFraction*c.limits[name].Rate
 		if leasedRate := min(need, spare); leasedRate > 0 {
 			b.leasedOut = b.leasedOut.add(now, lease{r.Domain, leasedRate, now + LeaseDuration})
 			leasedRates[name] = leasedRate
@@ -137,11 +137,11 @@
 
 // AddLeases records what a domain's coordinator leased in answer to a request sent at
 // requestedAt.
-func (k *Coordinator) AddLeases(now, requestedAt time.Duration, domain string, leasedRates map[string]float64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (c *Coordinator) AddLeases(now, requestedAt time.Duration, domain string, leasedRates map[string]float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for name, rate := range leasedRates {
-		if b := k.bucket(now, name); b != nil && rate > 0 {
+		if b := c.bucket(now, name); b != nil && rate > 0 {
 			b.leasedIn = b.leasedIn.add(now, lease{domain, rate, requestedAt + LeaseDuration})
 		}
 	}
--- a/internal/quota/locallimiter.go
+++ b/internal/quota/locallimiter.go
@@ -92,63 +92,63 @@
 // Admit decides on a call. daemons is the number of daemons in the fleet: a daemon
 // without a valid reply uses its even share of the limit, since each of the others may do
 // the same. retryAfter is set for a call that is denied.
-func (s *LocalLimiter) Admit(now time.Duration, workspace string, limit Limit, daemons int) (verdict Verdict, retryAfter time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.answeredReportAt == 0 || now-s.answeredReportAt > replyLifetime {
-		return s.admitFallback(now, workspace, limit, daemons)
+func (l *LocalLimiter) Admit(now time.Duration, workspace string, limit Limit, daemons int) (verdict Verdict, retryAfter time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.answeredReportAt == 0 || now-l.answeredReportAt > replyLifetime {
+		return l.admitFallback(now, workspace, limit, daemons)
 	}
-	if _, needsGrant := s.retryAfterMS[workspace]; needsGrant {
-		if now < s.deniedUntil[workspace] {
-			return Denied, s.retryAfter(workspace)
+	if _, needsGrant := l.retryAfterMS[workspace]; needsGrant {
+		if now < l.deniedUntil[workspace] {
+			return Denied, l.retryAfter(workspace)
 		}
 		return NeedsGrant, 0
 	}
-	if float64(s.unacked[workspace]) >= minUnackedCalls+maxUnackedSeconds*limit.Rate {
+	if float64(l.unacked[workspace]) >= minUnackedCalls+maxUnackedSeconds*limit.Rate {
 		return NeedsGrant, 0
 	}
-	s.unacked[workspace]++
-	s.recordAdmitted(now, workspace)
+	l.unacked[workspace]++
+	l.recordAdmitted(now, workspace)
 	return Admitted, 0
 }
 
 // recordAdmitted counts an admitted call that the coordinator has not counted yet.
-func (s *LocalLimiter) recordAdmitted(now time.Duration, workspace string) {
-	s.used[workspace]++
-	s.recordRate(now, workspace)
+func (l *LocalLimiter) recordAdmitted(now time.Duration, workspace string) {
+	l.used[workspace]++
+	l.recordRate(now, workspace)
 }
 
-func (s *LocalLimiter) recordRate(now time.Duration, workspace string) {
-	p := s.rates[workspace]
+func (l *LocalLimiter) recordRate(now time.Duration, workspace string) {
+	p := l.rates[workspace]
 	if p == nil {
 		p = &rateAverage{}
-		s.rates[workspace] = p
+		l.rates[workspace] = p
 	}
 	p.record(now)
 }
 
 // RecordGranted records a call that the coordinator granted, and has therefore counted.
-func (s *LocalLimiter) RecordGranted(now time.Duration, workspace string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.recordRate(now, workspace)
+func (l *LocalLimiter) RecordGranted(now time.Duration, workspace string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.recordRate(now, workspace)
 }
 
 // admitFallback decides without a coordinator: calls are admitted at the rate at which
 // they were admitted while there was one, which the limit allowed, or at a part of the
 // even share if that is more.
-func (s *LocalLimiter) admitFallback(now time.Duration, workspace string, limit Limit, daemons int) (Verdict, time.Duration) {
+func (l *LocalLimiter) admitFallback(now time.Duration, workspace string, limit Limit, daemons int) (Verdict, time.Duration) {
 	rate := fallbackFraction * limit.Rate / float64(max(1, daemons))
-	if p := s.rates[workspace]; p != nil {
+	if p := l.rates[workspace]; p != nil {
 		rate = max(rate, p.rate)
 	}
-	b := s.fallback[workspace]
+	b := l.fallback[workspace]
 	if b == nil {
 		// The initial tokens are random, so that half of the daemons admit a first call:
 		// of a workspace that calls rarely, neither are all calls denied, nor are the
 		// first calls at all of many daemons admitted.
 		b = &fallbackBucket{tokens: fallbackBurst * (0.5 + rand.Float64()), updatedAt: now}
-		s.fallback[workspace] = b
+		l.fallback[workspace] = b
 	}
 	b.tokens = min(b.tokens+rate*(now-b.updatedAt).Seconds(), max(b.tokens, fallbackBurst))
 	b.updatedAt = now
@@ -156,22 +156,22 @@
 		return Denied, min(maxRetryAfter, max(minRetryAfter, time.Duration((1-b.tokens)/rate*float64(time.Second))))
 	}
 	b.tokens--
-	s.used[workspace]++ // the average rate stays as it was
+	l.used[workspace]++ // the average rate stays as it was
 	return Admitted, 0
 }
 
 // GiveBack removes a call that was admitted but did not run from the counts.
-func (s *LocalLimiter) GiveBack(workspace string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.used[workspace]--
+func (l *LocalLimiter) GiveBack(workspace string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.used[workspace]--
 }
 
 // HasReply reports whether a coordinator has ever replied.
-func (s *LocalLimiter) HasReply() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.answeredReportAt > 0
+func (l *LocalLimiter) HasReply() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.answeredReportAt > 0
 }
 
 // idleReportInterval is how old the newest reply may get before a daemon with nothing to
@@ -179,43 +179,43 @@
 const idleReportInterval = 3 * replyLifetime / 5
 
 // Idle reports whether no report to the coordinator is due.
-func (s *LocalLimiter) Idle(now time.Duration) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.used) == 0 && s.answeredReportAt > 0 && now-s.answeredReportAt < idleReportInterval
+func (l *LocalLimiter) Idle(now time.Duration) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.used) == 0 && l.answeredReportAt > 0 && now-l.answeredReportAt < idleReportInterval
 }
 
 // Report returns the next report to the coordinator and resets the counts in it.
-func (s *LocalLimiter) Report() Report {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	r := Report{Used: s.used}
-	s.used = map[string]int{}
+func (l *LocalLimiter) Report() Report {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	r := Report{Used: l.used}
+	l.used = map[string]int{}
 	return r
 }
 
 // Restore puts back the counts of a report that got no reply. If the coordinator did
 // receive it, the calls are counted twice, which keeps them within the limit.
-func (s *LocalLimiter) Restore(r Report) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (l *LocalLimiter) Restore(r Report) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for name, n := range r.Used {
-		s.used[name] += n
+		l.used[name] += n
 	}
 }
 
 // HandleReply records a coordinator's reply to a report sent at requestedAt.
-func (s *LocalLimiter) HandleReply(requestedAt time.Duration, r Reply) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if requestedAt >= s.answeredReportAt {
-		s.answeredReportAt, s.retryAfterMS = requestedAt, r.RetryAfterMS
-		clear(s.unacked)
+func (l *LocalLimiter) HandleReply(requestedAt time.Duration, r Reply) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if requestedAt >= l.answeredReportAt {
+		l.answeredReportAt, l.retryAfterMS = requestedAt, r.RetryAfterMS
+		clear(l.unacked)
 	}
-	clear(s.fallback)
-	for name := range s.deniedUntil {
-		if _, needsGrant := s.retryAfterMS[name]; !needsGrant {
-			delete(s.deniedUntil, name)
+	clear(l.fallback)
+	for name := range l.deniedUntil {
+		if _, needsGrant := l.retryAfterMS[name]; !needsGrant {
+			delete(l.deniedUntil, name)
 		}
 	}
 }
@@ -223,13 +223,13 @@
 // RecordDenied records that the coordinator did not grant a call, and returns its retry-after
 // time. Until the next report, further calls of the workspace are denied without a
 // request.
-func (s *LocalLimiter) RecordDenied(now time.Duration, workspace string) (retryAfter time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.deniedUntil[workspace] = now + minRetryAfter
-	return s.retryAfter(workspace)
+func (l *LocalLimiter) RecordDenied(now time.Duration, workspace string) (retryAfter time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.deniedUntil[workspace] = now + minRetryAfter
+	return l.retryAfter(workspace)
 }
 
-func (s *LocalLimiter) retryAfter(workspace string) time.Duration {
-	return max(minRetryAfter, time.Duration(s.retryAfterMS[workspace])*time.Millisecond)
+func (l *LocalLimiter) retryAfter(workspace string) time.Duration {
+	return max(minRetryAfter, time.Duration(l.retryAfterMS[workspace])*time.Millisecond)
 }
