--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -5,8 +5,8 @@
 
 import "time"
 
-// Timestamp is the last time at which the configuration held was certainly the newest. Zero
-// means never.
+// Timestamp is the last time at which this daemon's configuration was certainly the newest.
+// Zero means never.
 type Timestamp time.Duration
 
 // Fresh reports whether the configuration may still serve such calls now. bound is the time
@@ -20,13 +20,14 @@
 // Age returns the time since the timestamp.
 func (t Timestamp) Age(now time.Duration) time.Duration { return now - time.Duration(t) }
 
-// FromPeer returns the timestamp for a confirmation from another VM: its configuration had the
-// given age when it had received the message that was sent from here at the time sent. The
-// whole round trip is added to the age, since the clocks of the two VMs cannot be compared.
+// FromPeer returns the timestamp for a confirmation from another VM: the other VM's
+// configuration had the given age when the message that this VM had sent at the time sent was
+// received there. The whole round trip is added to the age, since the clocks of the two VMs
+// cannot be compared.
 func FromPeer(sent, age time.Duration) Timestamp { return Timestamp(max(0, sent-age)) }
 
-// sendTimesKept is the number of messages whose send times are kept: two seconds' worth at
-// eight messages a second. A connection that is silent for longer than that is closed.
+// sendTimesKept is the number of messages whose send times are kept: those of two seconds at
+// eight messages per second. A connection that is silent for longer than that is closed.
 const sendTimesKept = 16
 
 // SendTimes keeps the send times of the last numbered messages on a connection.
@@ -40,7 +41,8 @@
 	s.seq[seq%sendTimesKept], s.at[seq%sendTimesKept] = seq, now
 }
 
-// At returns when a message was sent, or false if that is not known, or not any more.
+// At returns when a message was sent. It returns false if the message was not sent yet, or
+// its send time is no longer kept.
 func (s *SendTimes) At(seq uint64) (time.Duration, bool) {
 	return s.at[seq%sendTimesKept], seq > 0 && s.seq[seq%sendTimesKept] == seq
 }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -10,7 +10,7 @@
 	"github.com/comfreygate/comfreygate/internal/freshness"
 )
 
-func TestStampIsFreshWithinBound(t *testing.T) {
+func TestTimestampIsFreshWithinBound(t *testing.T) {
 	is := is.New(t)
 	const bound = 5 * time.Second
 	s := freshness.Timestamp(10 * time.Second)
@@ -21,20 +21,20 @@
 	is.Equal(freshness.FromPeer(time.Second, time.Hour), freshness.Timestamp(0))
 }
 
-func TestEchoesForgetOldMessages(t *testing.T) {
+func TestSendTimesDropsOldMessages(t *testing.T) {
 	is := is.New(t)
-	var e freshness.SendTimes
-	_, ok := e.At(0)
+	var times freshness.SendTimes
+	_, ok := times.At(0)
 	is.True(!ok)
 	for seq := uint64(1); seq <= 40; seq++ {
-		e.Sent(seq, time.Duration(seq)*time.Second)
+		times.Sent(seq, time.Duration(seq)*time.Second)
 	}
-	at, ok := e.At(40)
+	at, ok := times.At(40)
 	is.True(ok)
 	is.Equal(at, 40*time.Second)
-	_, ok = e.At(41)
+	_, ok = times.At(41)
 	is.True(!ok) // not sent yet
-	_, ok = e.At(10)
+	_, ok = times.At(10)
 	is.True(!ok) // too long ago
 }
 
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -59,11 +59,11 @@
 
 // Limiter applies the rate limits of workspaces to their calls. Safe for concurrent use.
 type Limiter struct {
-	domain      string
-	share       *quota.LocalLimiter
-	coordinator *quota.Coordinator
-	client      *http.Client
-	logger      zerolog.Logger
+	domain       string
+	localLimiter *quota.LocalLimiter
+	coordinator  *quota.Coordinator
+	client       *http.Client
+	logger       zerolog.Logger
 	// requests counts the requests to coordinators, failedRequests those without an
 	// answer.
 	requests       metrics.Counter
@@ -73,8 +73,8 @@
 	startReporting sync.Once
 	// reportNow gets a token when a call waits for a grant, to trigger a report at once.
 	reportNow chan struct{}
-	// requestingLeases is set while this coordinator requests leases of others.
-	// leaseInterval is the pause until the next request, as a time.Duration.
+	// requestingLeases is set while this coordinator requests leases from others.
+	// leaseInterval is the interval until the next request, as a time.Duration.
 	requestingLeases atomic.Bool
 	leaseInterval    atomic.Int64
 
@@ -85,7 +85,7 @@
 // New returns a limiter without limits.
 func New(cfg Config) *Limiter {
 	return &Limiter{
-		domain: cfg.Domain, share: quota.NewLocalLimiter(), coordinator: quota.NewCoordinator(cfg.Tolerance), logger: cfg.Logger,
+		domain: cfg.Domain, localLimiter: quota.NewLocalLimiter(), coordinator: quota.NewCoordinator(cfg.Tolerance), logger: cfg.Logger,
 		client:   &http.Client{Timeout: coordinatorTimeout, Transport: &http.Transport{DialContext: cfg.Dialer.DialContext, IdleConnTimeout: idleConnTimeout}},
 		requests: metrics.GetOrRegisterCounter("limits.asks", cfg.Metrics), failedRequests: metrics.GetOrRegisterCounter("limits.asks_failed", cfg.Metrics),
 		reportNow: make(chan struct{}, 1), waiters: map[string][]chan bool{},
@@ -116,7 +116,7 @@
 }
 
 // HasReply reports whether the limit coordinator has ever replied.
-func (l *Limiter) HasReply() bool { return l.share.HasReply() }
+func (l *Limiter) HasReply() bool { return l.localLimiter.HasReply() }
 
 // Admit reports whether a call is within its workspace's limit, and otherwise the result
 // with which it is refused.
@@ -125,13 +125,13 @@
 	if !limited {
 		return true, outcome.Result{}
 	}
-	verdict, retryAfter := l.share.Admit(boottime.Now(), workspace, limit, v.Daemons)
+	verdict, retryAfter := l.localLimiter.Admit(boottime.Now(), workspace, limit, v.Daemons)
 	if verdict == quota.NeedsGrant {
 		if l.requestGrant(ctx, workspace) {
-			l.share.RecordGranted(boottime.Now(), workspace)
+			l.localLimiter.RecordGranted(boottime.Now(), workspace)
 			return true, outcome.Result{}
 		}
-		retryAfter = l.share.RecordDenied(boottime.Now(), workspace)
+		retryAfter = l.localLimiter.RecordDenied(boottime.Now(), workspace)
 	}
 	return verdict == quota.Admitted, outcome.Refuse(outcome.ReasonOverLimit, retryAfter)
 }
@@ -139,12 +139,12 @@
 // GiveBack returns a call that was admitted but did not run.
 func (l *Limiter) GiveBack(v *view.View, workspace string) {
 	if _, limited := LimitOf(v, workspace); limited {
-		l.share.GiveBack(workspace)
+		l.localLimiter.GiveBack(workspace)
 	}
 }
 
-// requestGrant waits for a grant from the coordinator. A grant that arrives after the
-// caller has gone is given back.
+// requestGrant waits for a grant from the coordinator. A grant that arrives after ctx
+// is done is given back.
 func (l *Limiter) requestGrant(ctx context.Context, workspace string) bool {
 	grant := make(chan bool, 1)
 	l.mu.Lock()
@@ -160,7 +160,7 @@
 	case <-ctx.Done():
 		go func() {
 			if <-grant {
-				l.share.GiveBack(workspace)
+				l.localLimiter.GiveBack(workspace)
 			}
 		}()
 		return false
@@ -197,7 +197,7 @@
 	return waiting
 }
 
-// resolveWaiters tells each waiting call whether it has a grant.
+// resolveWaiters notifies each waiting call whether it got a grant.
 func (l *Limiter) resolveWaiters(waiting map[string][]chan bool, granted map[string]int) {
 	for name, list := range waiting {
 		for i, grant := range list {
@@ -211,10 +211,10 @@
 func (l *Limiter) report(stop context.Context) {
 	v := l.view.Load()
 	waiting := l.takeWaiters()
-	if len(waiting) == 0 && l.share.Idle(boottime.Now()) {
+	if len(waiting) == 0 && l.localLimiter.Idle(boottime.Now()) {
 		return
 	}
-	r := l.share.Report()
+	r := l.localLimiter.Report()
 	for name, list := range waiting {
 		if r.Wanted == nil {
 			r.Wanted = make(map[string]int, len(waiting))
@@ -226,11 +226,11 @@
 	if err != nil {
 		l.failedRequests.Inc(1)
 		l.logger.Debug().Str("step", "report to keeper").Str("peer", v.LimitCoordinators[l.domain].Daemon).Err(err).Msg("limit coordinator did not answer; refusing the waiting calls and reporting the counts again")
-		l.share.Restore(r)
+		l.localLimiter.Restore(r)
 		l.resolveWaiters(waiting, nil)
 		return
 	}
-	l.share.HandleReply(requestedAt, reply)
+	l.localLimiter.HandleReply(requestedAt, reply)
 	l.resolveWaiters(waiting, reply.Granted)
 }
 
@@ -243,8 +243,8 @@
 	return reply, l.post(stop, coordinator, PathReport, r, &reply)
 }
 
-// requestLeases asks the coordinators of other failure domains for the rates that this
-// one lacks.
+// requestLeases requests leases from the coordinators of other failure domains for the rates
+// that this one lacks. It does nothing unless this daemon is the coordinator of its domain.
 func (l *Limiter) requestLeases(stop context.Context) {
 	v := l.view.Load()
 	if !v.LimitCoordinators[l.domain].Local || !l.requestingLeases.CompareAndSwap(false, true) {
@@ -321,7 +321,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// If this fails, the requesting daemon has closed the connection; it asks again.
+	// If this fails, the requesting daemon has closed the connection; it sends its request again.
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -2,13 +2,13 @@
 // daemons.
 //
 // A limit is divided evenly among the failure domains. In each, one daemon is the limit
-// coordinator (type Keeper): it counts the calls that all daemons of the domain admit, in
-// a token bucket for each workspace. As long as a bucket holds enough tokens, daemons
+// coordinator (type Coordinator): it counts the calls that all daemons of the domain admit,
+// in a token bucket for each workspace. As long as a bucket holds enough tokens, daemons
 // admit calls at once and report them afterwards; when it runs low, they request a grant
-// first. Coordinators lease rate that they do not need to one another, for a short time.
-// A lease expires at the borrower before it expires at the lender, so that the rates add
-// up to the limit at any time, also while failure domains are partitioned from each
-// other.
+// first. A coordinator leases rate that its domain does not need to the coordinators of
+// other domains, for a short time. A lease expires at the coordinator that received it
+// before it expires at the one that granted it, so that the rates add up to no more than
+// the limit at any time, also while failure domains are partitioned from each other.
 //
 // All times are boot times of this VM. The package starts no goroutines and opens no
 // connections.
@@ -28,8 +28,8 @@
 }
 
 // Tolerance says how limits are measured and by how much they may be exceeded. A limit
-// allows its rate and its burst in each Window, plus the fraction Part of that sum, plus
-// Calls calls. The excess covers the calls that are admitted before other daemons learn
+// allows its rate and its burst in each Window, plus the given Fraction of that
+// sum, plus Calls calls. The excess covers the calls that are admitted before other daemons learn
 // of them.
 type Tolerance struct {
 	// Window is zero if a burst is allowed only once, as with a plain token bucket.
@@ -64,7 +64,7 @@
 	evenBurstFraction = 0.5
 	// toleranceCallsFraction is the part of Tolerance.Calls that buckets hold beyond
 	// their burst: the calls of a workspace that sends few come in clusters. The rest,
-	// and Tolerance.Part, cover calls that are admitted before the coordinator learns of
+	// and Tolerance.Fraction, cover calls that are admitted before the coordinator learns of
 	// them.
 	toleranceCallsFraction = 0.75
 	// minCapacity is the least number of tokens that a bucket can hold: one that holds
@@ -76,7 +76,7 @@
 	// demandAverageSeconds is the time over which demand is averaged.
 	demandAverageSeconds = 1.0
 	// startupRateFraction is the part of its rate that a coordinator gives out in its
-	// first Term: what its predecessor leased to other domains may still be in use.
+	// first LeaseDuration: what its predecessor leased to other domains may still be in use.
 	startupRateFraction = 0.75
 	// maxReportGap is the time without reports after which a coordinator starts anew:
 	// daemons have meanwhile admitted calls that it has not counted.
@@ -86,8 +86,8 @@
 	maxRetryAfter = 3 * time.Second
 )
 
-// Coordinator is the limit coordinator of a failure domain: it counts the domain's calls. Safe
-// for concurrent use.
+// Coordinator is the limit coordinator of a failure domain: it counts the domain's calls.
+// Safe for concurrent use.
 type Coordinator struct {
 	tolerance Tolerance
 
@@ -160,7 +160,7 @@
 	return reply
 }
 
-// idle reports whether a bucket holds no information but its tokens.
+// idle reports whether a bucket holds no information other than its tokens.
 func (b *bucket) idle() bool {
 	const idleDemand = 0.01 // calls per second
 	return b.demand < idleDemand && b.leasedOut.sum(b.updatedAt, "")+b.leasedIn.sum(b.updatedAt, "") == 0
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -23,12 +23,12 @@
 	domains    []*domain
 	limits     map[string]Limit
 	workspaces []*workspace
-	// partitioned holds the failure domains that reach no other.
+	// partitioned holds the failure domains that are partitioned from all others.
 	partitioned map[int]bool
 }
 
 type daemon struct {
-	share       *LocalLimiter
+	limiter     *LocalLimiter
 	domain      *domain
 	coordinator *Coordinator
 	// requestInterval is the interval at which the coordinator requests leases.
@@ -90,7 +90,8 @@
 // Parameters of the simulated fleets.
 const (
 	fleetWorkspaces = 75
-	fleetSkew       = 1.2
+	// fleetSkew is the exponent of the Zipf distribution of the workspaces' usual rates.
+	fleetSkew = 1.2
 	// fleetLimitFactor is a workspace's limit, as a multiple of its usual rate.
 	fleetLimitFactor = 1.6
 	// callsPerDaemon is how many calls per second arrive at a daemon.
@@ -117,7 +118,7 @@
 		f.limits[s.name] = Limit{Rate: math.Ceil(fleetLimitFactor * s.usualRate), Burst: math.Ceil(fleetLimitFactor * s.usualRate)}
 	}
 	for i := range n {
-		d := &daemon{share: NewLocalLimiter(), domain: f.domains[i%domains], coordinator: NewCoordinator(fleetTolerance)}
+		d := &daemon{limiter: NewLocalLimiter(), domain: f.domains[i%domains], coordinator: NewCoordinator(fleetTolerance)}
 		d.coordinator.Set(f.limits, domains)
 		d.domain.daemons = append(d.domain.daemons, d)
 		f.daemons = append(f.daemons, d)
@@ -168,7 +169,7 @@
 		return
 	}
 	s.offered = append(s.offered, f.now)
-	switch v, _ := d.share.Admit(f.now, s.name, f.limits[s.name], len(f.daemons)); v {
+	switch v, _ := d.limiter.Admit(f.now, s.name, f.limits[s.name], len(f.daemons)); v {
 	case Admitted:
 		s.admitted = append(s.admitted, f.now)
 	case NeedsGrant:
@@ -187,40 +188,40 @@
 	}
 	waiting := d.waiting
 	d.waiting, d.reporting = nil, true
-	r := d.share.Report()
+	r := d.limiter.Report()
 	r.Wanted = map[string]int{}
 	for _, s := range waiting {
 		r.Wanted[s.name]++
 	}
-	k, asked := d.domain.coordinator, f.now
+	coordinator, requestedAt := d.domain.coordinator, f.now
 	f.after(f.messageDelay(), func() {
-		if k.down {
-			f.after(300*time.Millisecond, func() { f.handleReply(d, asked, waiting, r, nil) })
+		if coordinator.down {
+			f.after(300*time.Millisecond, func() { f.handleReply(d, requestedAt, waiting, r, nil) })
 			return
 		}
-		reply := k.coordinator.HandleReport(f.now, r)
-		f.after(f.messageDelay(), func() { f.handleReply(d, asked, waiting, r, &reply) })
+		reply := coordinator.coordinator.HandleReport(f.now, r)
+		f.after(f.messageDelay(), func() { f.handleReply(d, requestedAt, waiting, r, &reply) })
 	})
 }
 
-func (f *fleet) handleReply(d *daemon, asked time.Duration, waiting []*workspace, r Report, reply *Reply) {
+func (f *fleet) handleReply(d *daemon, requestedAt time.Duration, waiting []*workspace, r Report, reply *Reply) {
 	d.reporting = false
 	if d.down {
 		return
 	}
 	if reply == nil {
-		d.share.Restore(r)
+		d.limiter.Restore(r)
 		reply = &Reply{}
 	} else {
-		d.share.HandleReply(asked, *reply)
+		d.limiter.HandleReply(requestedAt, *reply)
 	}
 	for _, s := range waiting {
 		if reply.Granted[s.name] > 0 {
 			reply.Granted[s.name]--
 			s.admitted = append(s.admitted, f.now)
-			d.share.RecordGranted(f.now, s.name)
+			d.limiter.RecordGranted(f.now, s.name)
 		} else {
-			d.share.RecordDenied(f.now, s.name)
+			d.limiter.RecordDenied(f.now, s.name)
 		}
 	}
 	if len(d.waiting) > 0 {
@@ -257,7 +258,7 @@
 		f.after(1800*time.Millisecond, func() { d.domain.coordinator = d.domain.daemons[len(d.domain.daemons)-1] })
 	}
 	f.after(3500*time.Millisecond, func() {
-		d.down, d.share, d.coordinator, d.reporting = false, NewLocalLimiter(), NewCoordinator(fleetTolerance), false
+		d.down, d.limiter, d.coordinator, d.reporting = false, NewLocalLimiter(), NewCoordinator(fleetTolerance), false
 		d.coordinator.Set(f.limits, len(f.domains))
 		d.domain.coordinator = d
 	})
@@ -303,11 +304,11 @@
 		hotFactor, hotFrom = 7.5, 8 * time.Second
 		length             = 22 * time.Second
 		// rebalanceTime is the time in which leases move rate to where the calls arrive;
-		// failoverTime is the time in which the daemons notice that a coordinator is
-		// gone.
+		// failoverTime is the time in which the daemons notice that a coordinator has
+		// stopped.
 		rebalanceTime, failoverTime = 1500 * time.Millisecond, 1800 * time.Millisecond
 		// baseRefused is the fraction of the calls that may be refused without any
-		// disturbance: they arrive in clusters.
+		// disturbance, since calls arrive in clusters.
 		baseRefused = 0.005
 	)
 	hot := func(f *fleet) {
@@ -378,11 +379,11 @@
 					f := newFleet(size.daemons, size.domains, seed)
 					c.disturb(f)
 					f.run(length)
-					over, name := f.worstExcess()
+					excess, name := f.worstExcess()
 					refused := f.refusedFraction()
-					t.Logf("seed %d: worst window exceeds its limit by %.3f (%s), %.4f of the calls within limits refused", seed, over, name, refused)
-					if over > 0 || refused > allowed {
-						t.Errorf("seed %d: %s exceeds its limit by %.3f in a window, %.4f of the calls within limits refused (want at most %.4f)", seed, name, over, refused, allowed)
+					t.Logf("seed %d: worst window exceeds its limit by %.3f (%s), %.4f of the calls within limits refused", seed, excess, name, refused)
+					if excess > 0 || refused > allowed {
+						t.Errorf("seed %d: %s exceeds its limit by %.3f in a window, %.4f of the calls within limits refused (want at most %.4f)", seed, name, excess, refused, allowed)
 					}
 				}
 			})
@@ -390,8 +391,8 @@
 	}
 }
 
-// TestLeasesNeverAddUpToMoreThanTheLimit drives coordinators that grant and take leases,
-// lose answers and are partitioned: the rates that they may give out must never add up to
+// TestLeasesNeverAddUpToMoreThanTheLimit drives coordinators that grant and receive leases
+// while answers are lost or late: the rates that they may give out must never add up to
 // more than the limit.
 func TestLeasesNeverAddUpToMoreThanTheLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -424,13 +425,13 @@
 			}
 			coordinators[i].HandleReport(now, Report{Used: map[string]int{"ws": rapid.IntRange(0, 60).Draw(rt, "used")}})
 			check()
-			lender := (i + rapid.IntRange(1, domains-1).Draw(rt, "lender")) % domains
-			needs, asked := coordinators[i].Needs(now), now
-			leasedRates := coordinators[lender].GrantLeases(now, LeaseRequest{Domain: fmt.Sprint(i), Needs: needs})
+			grantor := (i + rapid.IntRange(1, domains-1).Draw(rt, "lender")) % domains
+			needs, requestedAt := coordinators[i].Needs(now), now
+			leasedRates := coordinators[grantor].GrantLeases(now, LeaseRequest{Domain: fmt.Sprint(i), Needs: needs})
 			check()
 			if rapid.Bool().Draw(rt, "heard") {
 				now += time.Duration(rapid.IntRange(0, 300).Draw(rt, "late")) * time.Millisecond
-				coordinators[i].AddLeases(now, asked, fmt.Sprint(lender), leasedRates)
+				coordinators[i].AddLeases(now, requestedAt, fmt.Sprint(grantor), leasedRates)
 				check()
 			}
 		}
--- a/internal/quota/lease.go
+++ b/internal/quota/lease.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// LeaseDuration is the duration of a lease. A daemon that borrowed rate and is then
-	// partitioned falls back to its own part when the lease expires.
+	// LeaseDuration is the duration of a lease. A coordinator that received a lease and is
+	// then partitioned falls back to its own part of the limit when the lease expires.
 	LeaseDuration = time.Second
 	// demandThreshold is the demand, as a part of its own rate, from which a coordinator
 	// requests leases.
 	demandThreshold = 0.8
-	// demandHeadroom is the rate that a borrower requests and a lender keeps for itself,
-	// as a multiple of its demand.
+	// demandHeadroom is the rate that a coordinator requests, or keeps for itself when it
+	// grants leases, as a multiple of its demand.
 	demandHeadroom = 1.3
 	// minLeaseFraction is the smallest part of a limit that is worth requesting.
 	minLeaseFraction = 0.01
@@ -18,14 +18,14 @@
 
 const (
 	// initialRequestInterval is the interval at which a coordinator that lacks rate
-	// requests leases; maxRequestInterval is the longest interval, while the others have
-	// none to spare.
+	// requests leases; maxRequestInterval is the longest interval, used while the other
+	// coordinators have no rate to spare.
 	initialRequestInterval = 250 * time.Millisecond
 	maxRequestInterval     = 500 * time.Millisecond
 )
 
-// NextLeaseRequestInterval returns the interval after which to request leases again, given the previous
-// interval and whether the other coordinators granted anything.
+// NextLeaseRequestInterval returns the interval after which to request leases again, given
+// the previous interval and whether the other coordinators granted anything.
 func NextLeaseRequestInterval(previous time.Duration, granted bool) time.Duration {
 	if granted || previous == 0 {
 		return initialRequestInterval
@@ -34,8 +34,9 @@
 }
 
 // lease is a rate that is leased to, or from, a failure domain until it expires. A later
-// lease replaces an earlier one; until the earlier one expires, both sides count the
-// higher of the two rates, so that it does not matter whether the answer was lost.
+// lease replaces an earlier one; until the earlier one expires, both
+// coordinators count the higher of the two rates, so that it does not matter whether the
+// answer with the later lease was lost.
 type lease struct {
 	domain    string
 	rate      float64
@@ -45,7 +46,7 @@
 // leases is a list of leases that had not expired when it was built.
 type leases []lease
 
-// sum returns the total rate of the leases in force now, without those of one domain.
+// sum returns the total rate of the leases in force now, without those of excludedDomain.
 func (list leases) sum(now time.Duration, excludedDomain string) float64 {
 	sum := 0.0
 	for i, l := range list {
@@ -68,7 +69,7 @@
 	return false
 }
 
-// add returns the list with one more lease, without those that are superseded or expired.
+// add returns the list with one more lease, without superseded and expired leases.
 func (list leases) add(now time.Duration, added lease) leases {
 	var kept leases
 	for _, old := range list {
@@ -79,7 +80,8 @@
 	return append(kept, added)
 }
 
-// LeaseRequest asks another domain's coordinator to lease the rates that this one lacks.
+// LeaseRequest asks another domain's coordinator to lease the rates that the requesting
+// coordinator lacks.
 type LeaseRequest struct {
 	// Domain is the failure domain of the requesting coordinator.
 	Domain string `json:"domain"`
@@ -112,8 +114,9 @@
 	return needs
 }
 
-// GrantLeases returns the part of the needed rates that this coordinator leases for a Term from
-// now on. It replaces the leases that it granted to that domain before.
+// GrantLeases returns the part of the needed rates that this coordinator leases to the
+// requesting one, for LeaseDuration from now on. The new leases replace those that it granted
+// to that domain before.
 func (c *Coordinator) GrantLeases(now time.Duration, r LeaseRequest) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/quota/locallimiter.go
+++ b/internal/quota/locallimiter.go
@@ -10,9 +10,9 @@
 const (
 	// replyLifetime is how long a coordinator's reply is valid.
 	replyLifetime = 500 * time.Millisecond
-	// maxUnackedSeconds and minUnackedCalls bound the calls of a workspace that a daemon may
-	// admit after a reply: the calls of that many seconds at the rate of the
-	// whole limit, plus that number of calls. Beyond the bound, calls need grants.
+	// maxUnackedSeconds and minUnackedCalls bound the calls of a workspace that a daemon
+	// may admit after a reply: the calls of maxUnackedSeconds at the rate of the whole
+	// limit, plus minUnackedCalls. Beyond the bound, calls need grants.
 	maxUnackedSeconds = 0.2
 	minUnackedCalls   = 2
 	// fallbackBurst is how many calls a daemon without a valid reply admits at once, and
@@ -35,8 +35,8 @@
 	Denied
 )
 
-// LocalLimiter is one daemon's state of the limits: the last reply of its coordinator, and the
-// calls that it has admitted. Safe for concurrent use.
+// LocalLimiter applies the limits at one daemon. It holds the last reply of the daemon's
+// coordinator, and the calls that the daemon has admitted. Safe for concurrent use.
 type LocalLimiter struct {
 	mu sync.Mutex
 	// answeredReportAt is when the newest report that got a reply was sent; zero: none
@@ -84,7 +84,8 @@
 // rateAverageSeconds is the time over which a daemon averages the calls that it admits.
 const rateAverageSeconds = 3.0
 
-// NewLocalLimiter returns the share of a daemon that has had no reply from a coordinator yet.
+// NewLocalLimiter returns the limiter of a daemon that has had no reply from a coordinator
+// yet.
 func NewLocalLimiter() *LocalLimiter {
 	return &LocalLimiter{used: map[string]int{}, unacked: map[string]int{}, fallback: map[string]*fallbackBucket{}, rates: map[string]*rateAverage{}, deniedUntil: map[string]time.Duration{}}
 }
@@ -119,12 +120,12 @@
 }
 
 func (l *LocalLimiter) recordRate(now time.Duration, workspace string) {
-	p := l.rates[workspace]
-	if p == nil {
-		p = &rateAverage{}
-		l.rates[workspace] = p
+	average := l.rates[workspace]
+	if average == nil {
+		average = &rateAverage{}
+		l.rates[workspace] = average
 	}
-	p.record(now)
+	average.record(now)
 }
 
 // RecordGranted records a call that the coordinator granted, and has therefore counted.
@@ -134,19 +135,19 @@
 	l.recordRate(now, workspace)
 }
 
-// admitFallback decides without a coordinator: calls are admitted at the rate at which
-// they were admitted while there was one, which the limit allowed, or at a part of the
-// even share if that is more.
+// admitFallback decides on a call without a coordinator. Calls are admitted at the rate at
+// which they were admitted while there was a coordinator, since the limit allowed that rate,
+// or at fallbackFraction of the even share if that is more.
 func (l *LocalLimiter) admitFallback(now time.Duration, workspace string, limit Limit, daemons int) (Verdict, time.Duration) {
 	rate := fallbackFraction * limit.Rate / float64(max(1, daemons))
-	if p := l.rates[workspace]; p != nil {
-		rate = max(rate, p.rate)
+	if average := l.rates[workspace]; average != nil {
+		rate = max(rate, average.rate)
 	}
 	b := l.fallback[workspace]
 	if b == nil {
-		// The initial tokens are random, so that half of the daemons admit a first call:
-		// of a workspace that calls rarely, neither are all calls denied, nor are the
-		// first calls at all of many daemons admitted.
+		// The initial tokens are random, so that half of the daemons admit a first call.
+		// Otherwise a workspace that calls rarely would have all of its calls denied, or
+		// its first call at each of many daemons admitted.
 		b = &fallbackBucket{tokens: fallbackBurst * (0.5 + rand.Float64()), updatedAt: now}
 		l.fallback[workspace] = b
 	}
@@ -220,9 +221,9 @@
 	}
 }
 
-// RecordDenied records that the coordinator did not grant a call, and returns its retry-after
-// time. Until the next report, further calls of the workspace are denied without a
-// request.
+// RecordDenied records that the coordinator did not grant a call, and returns the call's
+// retry-after time. For minRetryAfter, which is about the time until the next report, further
+// calls of the workspace are denied without a request.
 func (l *LocalLimiter) RecordDenied(now time.Duration, workspace string) (retryAfter time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/suspect/recent.go
+++ b/internal/suspect/recent.go
@@ -24,7 +24,8 @@
 	mu          sync.Mutex
 	windowStart time.Time
 	// current and previous hold the requests answered in this window and in the one
-	// before it. The value is true if Excuse has returned true since the last answer.
+	// before it. The value is true if ExemptOnce has returned true since the last
+	// answer.
 	current  map[Digest]bool
 	previous map[Digest]bool
 }
@@ -52,8 +53,8 @@
 	return known
 }
 
-// ExemptOnce reports whether a request is exempt from suspicion for one crash: it was answered
-// recently, and ExemptOnce has not returned true for it since its last answer.
+// ExemptOnce reports whether a request is exempt from suspicion for one crash: it was
+// answered recently, and ExemptOnce has not returned true for it since its last answer.
 func (r *Recent) ExemptOnce(d Digest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/suspect/record.go
+++ b/internal/suspect/record.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// QuarantineThreshold is the number of upstreams that must have crashed while running a request
-	// for it to be quarantined. One crash makes suspects of all requests that ran at the
-	// upstream, 16 or more. That a harmless request is a suspect of two crashes is still
-	// common where calls are retried at other upstreams; of three crashes without an
-	// answer in between it is not.
+	// QuarantineThreshold is the number of crashes of upstreams that ran a request from
+	// which on it is quarantined. One crash makes suspects of all requests that ran at the
+	// upstream, 16 or more. It is still common that a harmless request is suspected of two
+	// crashes where calls are retried at other upstreams, but not that it is suspected of
+	// three without an answer in between.
 	QuarantineThreshold = 3
-	// Retention is how long a record is kept after its last change: long enough for somebody
-	// to investigate what crashed three upstreams. A request that still crashes them
-	// after that is quarantined again after three more crashes.
+	// Retention is how long a record is kept after its last change: long enough for
+	// somebody to investigate what crashed three upstreams. A request that crashes
+	// upstreams later than that is quarantined again after three more crashes.
 	Retention = 24 * time.Hour
 	// maxClockSkew is how far the clocks of two VMs may differ. A record with a later
 	// timestamp than that allows is treated as changed now.
@@ -27,8 +27,8 @@
 // CrashID identifies one crash of one upstream.
 type CrashID uint64
 
-// NewCrashID returns the identifier of the n-th crash of an upstream that a daemon saw during
-// the given incarnation of the daemon.
+// NewCrashID returns the identifier of the n-th crash of an upstream that a daemon saw in
+// the given incarnation of that daemon.
 func NewCrashID(upstream string, incarnation, n uint64) CrashID {
 	h := xxhash.New()
 	// Writing to a hash never fails.
@@ -44,11 +44,11 @@
 	// Round increases each time the request is cleared, usually because an upstream
 	// answered it: the crashes of earlier rounds had another cause and no longer count.
 	Round uint32 `json:"r,omitempty"`
-	// ClearedUnanswered is set if this round began without an answer: the request was cleared by a
-	// daemon whose upstream had answered it earlier, or by an operator.
+	// ClearedUnanswered is set if this round began without an answer: the request was
+	// cleared by a daemon whose upstream had answered it earlier, or by an operator.
 	ClearedUnanswered bool `json:"v,omitempty"`
 	// Crashes are the crashes that the request is suspected of in this round, sorted, at
-	// most Enough of them.
+	// most QuarantineThreshold of them.
 	Crashes []CrashID `json:"e,omitempty"`
 	// At is when the record last changed, in Unix milliseconds by the clock of the daemon
 	// that changed it.
@@ -70,12 +70,12 @@
 	case o.Round < r.Round:
 		return r
 	}
-	ends := slices.Concat(r.Crashes, o.Crashes)
-	slices.Sort(ends)
-	ends = slices.Compact(ends)
+	crashes := slices.Concat(r.Crashes, o.Crashes)
+	slices.Sort(crashes)
+	crashes = slices.Compact(crashes)
 	return Record{
 		Digest: r.Digest, Round: r.Round, ClearedUnanswered: r.ClearedUnanswered || o.ClearedUnanswered,
-		Crashes: ends[:min(len(ends), QuarantineThreshold)], At: max(r.At, o.At),
+		Crashes: crashes[:min(len(crashes), QuarantineThreshold)], At: max(r.At, o.At),
 	}
 }
 
@@ -103,8 +103,8 @@
 	if r.ClearedUnanswered {
 		nums = append(nums, 0)
 	}
-	for _, e := range r.Crashes {
-		nums = append(nums, uint64(e))
+	for _, id := range r.Crashes {
+		nums = append(nums, uint64(id))
 	}
 	return xxhash.Sum64(bigEndianBytes(nums...))
 }
--- a/internal/suspect/table.go
+++ b/internal/suspect/table.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// MaxRecords is the largest number of records in a table: enough for the requests running at 60
-// upstreams of 16 slots that crash at once. A full table evicts cleared records first,
-// then those with the fewest crashes; of equals it evicts the oldest. It takes 0.1 MB of
-// memory.
+// MaxRecords is the largest number of records in a table: enough for the requests running
+// at 60 upstreams of 16 slots that crash at once. A full table evicts cleared records first,
+// then those with the fewest crashes, and the oldest of records with equally many. It takes
+// 0.1 MB of memory.
 const MaxRecords = 1024
 
 // sweepInterval is the interval at which expired records are removed.
@@ -35,10 +35,10 @@
 
 type row struct {
 	Record
-	// reportedEnds is the number of crashes that Changes last returned for the record;
+	// reportedCrashes is the number of crashes that Changes last returned for the record;
 	// pending is set if the record has changed since.
-	reportedEnds int
-	pending      bool
+	reportedCrashes int
+	pending         bool
 }
 
 // Change is a record that has changed, with the number of crashes that it had when Changes
@@ -60,7 +60,8 @@
 // not returned yet.
 func (t *Table) Changed() <-chan struct{} { return t.changed }
 
-// CrashCount returns the number of crashes that the request is suspected of, at most Enough.
+// CrashCount returns the number of crashes that the request is suspected of, at most
+// QuarantineThreshold.
 func (t *Table) CrashCount(d Digest) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,10 +82,10 @@
 }
 
 // RecordCrash records that an upstream crashed while it ran the request.
-func (t *Table) RecordCrash(d Digest, e CrashID) Record {
+func (t *Table) RecordCrash(d Digest, id CrashID) Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	rec := Record{Digest: d, Crashes: []CrashID{e}, At: t.now().UnixMilli()}
+	rec := Record{Digest: d, Crashes: []CrashID{id}, At: t.now().UnixMilli()}
 	if r := t.rows[d]; r != nil {
 		rec.Round = r.Round
 	}
@@ -100,19 +101,20 @@
 	return t.clear(d, false)
 }
 
-// ClearUnanswered clears a request without an answer. It reports whether the request was a suspect.
+// ClearUnanswered clears a request without an answer. It reports whether the request was a
+// suspect.
 func (t *Table) ClearUnanswered(d Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.clear(d, true)
 }
 
-func (t *Table) clear(d Digest, vouched bool) bool {
+func (t *Table) clear(d Digest, unanswered bool) bool {
 	r := t.rows[d]
 	if r == nil || len(r.Crashes) == 0 {
 		return false
 	}
-	return t.merge(Record{Digest: d, Round: r.Round + 1, ClearedUnanswered: vouched, At: t.now().UnixMilli()})
+	return t.merge(Record{Digest: d, Round: r.Round + 1, ClearedUnanswered: unanswered, At: t.now().UnixMilli()})
 }
 
 // Merge merges a record from another daemon. It reports whether that changed the table.
@@ -205,8 +207,8 @@
 	var out []Change
 	for _, r := range t.rows {
 		if r.pending {
-			out = append(out, Change{Record: r.Record, Before: r.reportedEnds})
-			r.reportedEnds, r.pending = len(r.Crashes), false
+			out = append(out, Change{Record: r.Record, Before: r.reportedCrashes})
+			r.reportedCrashes, r.pending = len(r.Crashes), false
 		}
 	}
 	slices.SortFunc(out, func(a, b Change) int { return cmp.Compare(a.Digest, b.Digest) })
--- a/internal/suspect/table_test.go
+++ b/internal/suspect/table_test.go
@@ -21,16 +21,17 @@
 	is := is.New(t)
 	tab := NewTable(newClock().now)
 	is.True(!tab.Any())
-	for _, e := range []CrashID{1, 1, 2} { // a crash counts once, however many copies of the request ran there
-		tab.RecordCrash(7, e)
+	// A crash counts once, however many copies of the request ran at the upstream.
+	for _, id := range []CrashID{1, 1, 2} {
+		tab.RecordCrash(7, id)
 	}
 	is.Equal(tab.CrashCount(7), 2)
 	is.True(tab.Answered(7))
 	is.Equal(tab.CrashCount(7), 0)
 	is.True(!tab.Any())
 	is.True(!tab.Answered(7)) // nothing to clear
-	for _, e := range []CrashID{3, 4} {
-		is.True(!tab.RecordCrash(7, e).Quarantined()) // crashes before the answer do not count
+	for _, id := range []CrashID{3, 4} {
+		is.True(!tab.RecordCrash(7, id).Quarantined()) // crashes before the answer do not count
 	}
 	is.True(tab.RecordCrash(7, 5).Quarantined())
 	is.True(tab.Any())
@@ -83,7 +84,7 @@
 }
 
 // TestTableIsBounded floods a table with requests that are suspected of one crash each. The
-// table must keep Most records, and must not evict the request that is one crash short of
+// table must keep MaxRecords records, and must not evict the request that is one crash short of
 // quarantine.
 func TestTableIsBounded(t *testing.T) {
 	is := is.New(t)
@@ -165,8 +166,8 @@
 	before := heapInUse()
 	tab, recent := NewTable(c.now), NewRecent(c.now)
 	for d := range Digest(2 * MaxRecords) {
-		for e := range CrashID(QuarantineThreshold) {
-			tab.RecordCrash(d+1, CrashID(d)*10+e)
+		for n := range CrashID(QuarantineThreshold) {
+			tab.RecordCrash(d+1, CrashID(d)*10+n)
 		}
 	}
 	withTable := heapInUse()
