--- a/internal/admission/flow_test.go
+++ b/internal/admission/flow_test.go
@@ -93,12 +93,12 @@
 	is := is.New(t)
 	byFlow, byArrival := simulateFlows(true), simulateFlows(false)
 	t.Logf("served fractions by flow %.2f, by arrival %.2f; Jain's index of the workspaces within their share %.3f and %.3f", byFlow, byArrival, jain(byFlow[1:]), jain(byArrival[1:]))
-	for _, part := range byFlow[1:] {
-		is.True(part > 0.9)
+	for _, fraction := range byFlow[1:] {
+		is.True(fraction > 0.9)
 	}
 	least := 1.0
-	for _, part := range byArrival[1:] {
-		least = min(least, part)
+	for _, fraction := range byArrival[1:] {
+		least = min(least, fraction)
 	}
 	is.True(least < 0.95)        // without flows, others are starved
 	is.True(byFlow[0] > 0.4)     // slots that others leave free are used
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -44,16 +44,17 @@
 	meanService     time.Duration
 	serviceMeasured bool
 	closed          outcome.Reason
-	// direct is the served fraction of the calls that are not nested.
+	// direct is the served fraction of the direct calls, which are those that are not
+	// nested.
 	direct servedAverage
 	// lost estimates the attempts in flight that no longer hold a slot at the upstream.
 	lost lostAnswers
 }
 
-// New returns the gate of an upstream that has been ready since the given time, with that
-// many slots and places in its queue.
-func New(now func() time.Time, slots, maxQueue int, since time.Time) *Gate {
-	return &Gate{now: now, slots: slots, maxQueue: maxQueue, readySince: since, meanService: initialServiceTime}
+// New returns the gate of an upstream that has been ready since readySince, with the given
+// numbers of slots and of places in its queue.
+func New(now func() time.Time, slots, maxQueue int, readySince time.Time) *Gate {
+	return &Gate{now: now, slots: slots, maxQueue: maxQueue, readySince: readySince, meanService: initialServiceTime}
 }
 
 // Resize applies new settings of the upstream.
@@ -101,9 +102,9 @@
 // Acquire waits for a slot. An empty reason means that the attempt has one and must
 // release it; otherwise it was refused and must not run.
 func (g *Gate) Acquire(ctx context.Context, a Request) (outcome.Reason, time.Duration) {
-	w, reason, after := g.Enter(a)
+	w, reason, retryAfter := g.Enter(a)
 	if w == nil {
-		return reason, after
+		return reason, retryAfter
 	}
 	refuseTimer := time.NewTimer(a.Deadline.Sub(g.now()) - AnswerMargin)
 	defer refuseTimer.Stop()
@@ -159,12 +160,12 @@
 // is short of slots: above it, few calls are refused and their order makes no difference.
 const shortageThreshold = 0.97
 
-// hasPriority reports whether a nested call goes before all calls that are not nested,
-// whatever their urgency: if its parent's upstream is short of slots, and shorter of them
-// than this one. If the nested call is refused, its parent's run is wasted, and with it a
-// slot at the parent's upstream. Where slots are scarcer there, that costs more than a
-// slot here; otherwise priority would only take a slot here from calls that may be more
-// urgent.
+// hasPriority reports whether a nested call goes before all direct calls, whatever their
+// urgency: if its parent's upstream is short of slots, and serves a smaller fraction of
+// its calls than this one. If the nested call is refused, its parent's run is wasted, and
+// with it a slot at the parent's upstream. Where slots are scarcer there, that costs more
+// than a slot here; otherwise priority would only take a slot here from calls that may be
+// more urgent.
 func (g *Gate) hasPriority(a Request) bool {
 	return a.Nested && a.ParentServedFraction < shortageThreshold && a.ParentServedFraction < g.direct.fraction(g.now())
 }
@@ -196,10 +197,10 @@
 // still come within its objective. A longer queue would not serve more calls but make all
 // of them late.
 //
-// Nested calls without priority may wait for the fraction of that time that their Lot
-// says. A run that makes several calls fails if one of them is refused, and the work of
-// the others is wasted; with one lot for all of them they are refused together or not at
-// all.
+// Nested calls without priority may wait for the fraction of that time that their
+// WaitFraction says. A run that makes several calls fails if one of them is refused, and the
+// work of the others is wasted; since all of them have the same WaitFraction, they are
+// refused together or not at all.
 func (g *Gate) maxWait(a Request) time.Duration {
 	now := g.now()
 	untilDeadline := a.Deadline.Sub(now)
@@ -318,8 +319,8 @@
 	return outcome.Load{InFlight: g.inFlight, Queued: len(g.queue), Slots: g.limit(), Service: g.meanService}
 }
 
-// RecordRunning records how many attempts the upstream says it is running. It is called for an
-// answer whose attempt still counts as in flight.
+// RecordRunning records how many attempts the upstream reports that it is running. It is
+// called for an answer whose attempt still counts as in flight.
 func (g *Gate) RecordRunning(running int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -327,15 +328,15 @@
 	g.admitWaiting()
 }
 
-// recordDirect counts a decision on a call that is not nested. Nested calls do not count,
-// since whether they are served follows from their rank.
+// recordDirect counts a decision on a direct call. Nested calls do not count, since whether
+// they are served follows from their rank.
 func (g *Gate) recordDirect(a Request, admitted bool) {
 	if !a.Nested {
 		g.direct.record(g.now(), admitted)
 	}
 }
 
-// ServedFraction returns the recently served fraction of the calls that are not nested.
+// ServedFraction returns the recently served fraction of the direct calls.
 func (g *Gate) ServedFraction() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/admission/lost.go
+++ b/internal/admission/lost.go
@@ -7,12 +7,13 @@
 
 const (
 	// lostReportCount is how many consecutive answers must report that the upstream runs
-	// fewer attempts than are in flight to it: one that is still on its way is not lost.
+	// fewer attempts than are in flight to it: an attempt that is still on its way to the
+	// upstream is not lost.
 	lostReportCount = 4
 	// lostReportMaxAge is how long these reports are valid.
 	lostReportMaxAge = time.Second
-	// maxLostFactor bounds the estimate as a multiple of the slots: an upstream that
-	// reports wrong counts gets no more attempts than it takes into its own queue.
+	// maxLostFactor bounds the estimate as a multiple of the slots, so that an upstream
+	// that reports wrong counts gets no more attempts than it takes into its own queue.
 	maxLostFactor = 2
 )
 
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -10,7 +10,8 @@
 // rank orders attempts that wait for the same upstream.
 type rank struct {
 	urgency config.Urgency
-	// priority is set for nested calls whose parent upstream is shorter of slots.
+	// priority is set for nested calls whose parent upstream is shorter of slots than the
+	// upstream that they wait for.
 	priority bool
 }
 
@@ -21,10 +22,11 @@
 	// each other, and flows of equal urgency take turns.
 	Flow   string
 	Nested bool
-	// ParentServedFraction is the recently served fraction of the direct calls at the upstream
-	// that makes a nested call.
+	// ParentServedFraction is the recently served fraction of the direct calls, those that
+	// are not nested, at the upstream that makes a nested call.
 	ParentServedFraction float64
-	// WaitFraction is a number from 0 to 1 that all nested calls of one caller's request share.
+	// WaitFraction is the fraction, from 0 to 1, of the allowed wait that a nested call may
+	// use. It is the same for all nested calls of one caller's request.
 	WaitFraction float64
 	Deadline     time.Time
 	// Objective is the time by which the answer should arrive, or zero if only the
--- a/internal/admission/served_test.go
+++ b/internal/admission/served_test.go
@@ -36,8 +36,8 @@
 type twoServices struct {
 	at           time.Time
 	upper, lower *Gate
-	// requests counts the upper requests that made their nested call. The lots of
-	// consecutive requests are spread evenly.
+	// requests counts the upper requests that made their nested call. The wait fractions
+	// of consecutive requests are spread evenly.
 	requests int
 	// hideShortage hides the upper service's shortage from the lower gate.
 	hideShortage bool
@@ -111,8 +111,8 @@
 		parentServed = 1
 	}
 	s.requests++
-	_, lot := math.Modf(float64(s.requests) * math.Phi)
-	a := Request{Urgency: config.Background, Nested: true, ParentServedFraction: parentServed, WaitFraction: lot}
+	_, waitFraction := math.Modf(float64(s.requests) * math.Phi)
+	a := Request{Urgency: config.Background, Nested: true, ParentServedFraction: parentServed, WaitFraction: waitFraction}
 	s.call(c, a, 60*time.Millisecond, 200*time.Millisecond)
 }
 
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -21,9 +21,9 @@
 func (t Timestamp) Age(now time.Duration) time.Duration { return now - time.Duration(t) }
 
 // FromPeer returns the timestamp for a confirmation from another VM: the other VM's
-// configuration had the given age when the message that this VM had sent at the time sent was
-// received there. The whole round trip is added to the age, since the clocks of the two VMs
-// cannot be compared.
+// configuration had the given age when the message that this VM had sent at the time sent
+// was received there. The whole round trip is added to the age, since the clocks of the
+// two VMs cannot be compared.
 func FromPeer(sent, age time.Duration) Timestamp { return Timestamp(max(0, sent-age)) }
 
 // sendTimesKept is the number of messages whose send times are kept: those of two seconds at
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -321,7 +321,8 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// If this fails, the requesting daemon has closed the connection; it sends its request again.
+	// If this fails, the requesting daemon has closed the connection; it sends its
+	// request again.
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -55,12 +55,12 @@
 	ReasonMoved Reason = "upstream-moved"
 	// ReasonQuarantined: the request is quarantined, since upstreams that ran it crashed.
 	ReasonQuarantined Reason = "quarantined"
-	// ReasonSuspectRunning: the request is a suspect, and a copy of it is running at the upstream.
-	// Suspects run one copy at a time.
+	// ReasonSuspectRunning: the request is a suspect, and a copy of it is running at the
+	// upstream. Suspects run one copy at a time.
 	ReasonSuspectRunning Reason = "being-tried"
 	// ReasonOtherSuspect: the request is a suspect, and another suspect is running at the
 	// upstream. If the two ran together and the upstream crashed, the cause could not be
-	// told.
+	// determined.
 	ReasonOtherSuspect Reason = "kept-apart"
 	ReasonDeadline     Reason = "deadline"
 	ReasonVoided       Reason = "voided"
@@ -99,8 +99,8 @@
 
 // Refuse returns the result of an attempt that has not run and never will, with the time
 // after which the caller may retry.
-func Refuse(reason Reason, after time.Duration) Result {
-	return Result{Outcome: NotRun, Reason: reason, RetryAfter: after}
+func Refuse(reason Reason, retryAfter time.Duration) Result {
+	return Result{Outcome: NotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
 // MayHaveRun returns the result of an attempt that may have run.
@@ -131,13 +131,14 @@
 	return r.Outcome == NotRun && (r.Reason == ReasonOverload || r.Reason == ReasonLink || r.Reason == ReasonOtherSuspect)
 }
 
-// RefusedAsSuspect reports whether the attempt was refused because the request is a suspect, which
-// says nothing about the state of the upstream.
+// RefusedAsSuspect reports whether the attempt was refused because the request is a suspect,
+// which says nothing about the state of the upstream.
 func (r Result) RefusedAsSuspect() bool {
 	return r.Outcome == NotRun && (r.Reason == ReasonQuarantined || r.Reason == ReasonSuspectRunning || r.Reason == ReasonOtherSuspect)
 }
 
-// UpstreamUnavailable reports whether the upstream accepts no calls at all, whatever their urgency.
+// UpstreamUnavailable reports whether the upstream accepts no calls at all, whatever their
+// urgency.
 func (r Result) UpstreamUnavailable() bool {
 	switch r.Reason {
 	case ReasonDraining, ReasonGone, ReasonUnreachable, ReasonMoved:
@@ -146,7 +147,7 @@
 	return false
 }
 
-// MinRetryAfter and MaxRetryAfter bound the advice when to retry.
+// MinRetryAfter and MaxRetryAfter bound the retry-after times of refused calls.
 const (
 	MinRetryAfter = 20 * time.Millisecond
 	MaxRetryAfter = 10 * time.Second
--- a/internal/pick/cost.go
+++ b/internal/pick/cost.go
@@ -15,8 +15,8 @@
 // upstreamCost is the cost of picking an upstream, apart from the path to it, as a
 // fraction of a call's worth. The time at the upstream costs almost nothing while it is
 // far below the objective, half of the worth if the expected time equals the objective,
-// and all of it far beyond. A linear cost would send calls across failure domains to save
-// milliseconds that nobody notices: it doubled the bytes sent between domains.
+// and all of it far beyond. With a linear cost, calls were sent across failure domains to
+// save milliseconds that nobody notices, which doubled the bytes sent between domains.
 func (p *Picker) upstreamCost(u *view.Upstream, c Criteria, means serviceMeans, now time.Time) float64 {
 	expected := float64(c.Took)*p.slowness(u, means, now) + float64(p.bodyWait(u, c, now))
 	objectiveFraction := expected / float64(max(c.Objective, time.Millisecond))
@@ -69,7 +69,7 @@
 }
 
 func (p *Picker) computeMeans(s *view.Service, now time.Time) serviceMeans {
-	var service time.Duration
+	var serviceTime time.Duration
 	var busyFraction float64
 	withServiceTime, withLoad := 0, 0
 	for i := range s.Upstreams {
@@ -79,7 +79,7 @@
 			continue
 		}
 		if now.Sub(st.loadAt) < serviceTimeMaxAge {
-			service += st.load.Service
+			serviceTime += st.load.Service
 			withServiceTime++
 		}
 		if now.Sub(st.loadAt) < loadMaxAge {
@@ -87,11 +87,11 @@
 			withLoad++
 		}
 	}
-	t := serviceMeans{serviceTime: service / time.Duration(max(1, withServiceTime)), busyFraction: usualBusyFraction}
+	means := serviceMeans{serviceTime: serviceTime / time.Duration(max(1, withServiceTime)), busyFraction: usualBusyFraction}
 	if withLoad > 0 {
-		t.busyFraction = busyFraction / float64(withLoad)
+		means.busyFraction = busyFraction / float64(withLoad)
 	}
-	return t
+	return means
 }
 
 // busyFraction returns the fraction of an upstream's slots that is busy, as far as this
@@ -112,7 +112,7 @@
 // usual duration, given the upstream's speed and load. An upstream without a recent load
 // report counts as at least as busy as the mean of the others: in a fleet of hundreds, a
 // daemon gets a report from each upstream only every few seconds, and would otherwise
-// send its calls to those that it knows nothing about, across failure domains.
+// send its calls to the upstreams without a report, across failure domains.
 func (p *Picker) slowness(u *view.Upstream, means serviceMeans, now time.Time) float64 {
 	st := p.stats[u.ID]
 	if st == nil {
--- a/internal/pick/locality.go
+++ b/internal/pick/locality.go
@@ -31,7 +31,8 @@
 			groups.otherDomains = append(groups.otherDomains, u)
 		}
 	}
-	if len(s.Upstreams) > 1 { // a single one may be a key's upstream rather than the whole service
+	// A single upstream may be that of a key rather than the whole service.
+	if len(s.Upstreams) > 1 {
 		p.groups[s.Name] = groups
 	}
 	return groups
@@ -43,8 +44,7 @@
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// domainReachable reports whether this failure domain has a reachable upstream, even if
-// that is full.
+// domainReachable reports whether this failure domain has a reachable upstream, full or not.
 func (p *Picker) domainReachable(groups *localityGroups) bool {
 	if groups.local != nil && !p.down[groups.local.Owner] {
 		return true
--- a/internal/pick/pick.go
+++ b/internal/pick/pick.go
@@ -12,8 +12,8 @@
 // Criteria describes the call for which an upstream is picked.
 type Criteria struct {
 	Urgency config.Urgency
-	// Objective is the time that an answer should take: a delay of that length costs as
-	// much as the call is worth.
+	// Objective is the time within which the answer should arrive. upstreamCost says what
+	// a later answer costs.
 	Objective time.Duration
 	// Took is how long the route's calls usually take.
 	Took time.Duration
@@ -21,10 +21,11 @@
 	Body int
 	// Bytes is how many bytes are sent to the upstream's VM and back.
 	Bytes int
-	// AffinityKey, if not empty, is a key: all daemons pick the same upstream for it, of those
-	// that may be tried, whatever it costs.
+	// AffinityKey, if not empty, determines the upstream: of those that may be tried, all
+	// daemons pick the same one for a key, whatever it costs.
 	AffinityKey string
-	// Tried are the IDs of upstreams that are not picked again.
+	// Tried are the IDs of the upstreams that were tried for this call before. They are
+	// not picked again.
 	Tried []string
 }
 
@@ -32,9 +33,9 @@
 	// hopCost is the cost of the path to another VM as a fraction of a call's worth, for
 	// the second daemon's processor time.
 	hopCost = 0.01
-	// maxCrossDomainCost is how much, as a multiple of a call's worth, the bytes sent
-	// between failure domains may cost while this daemon's domain has reachable
-	// upstreams, even if those are full.
+	// maxCrossDomainCost is the most that the bytes of a call which is sent to another
+	// failure domain may cost, as a multiple of the call's worth, while this daemon's
+	// domain has reachable upstreams, even if those are full.
 	maxCrossDomainCost = 1
 )
 
@@ -48,7 +49,7 @@
 	p.expire(now)
 	var best *view.Upstream
 	if c.AffinityKey != "" {
-		best = p.home(s, c, now)
+		best = p.byAffinityKey(s, c, now)
 	} else {
 		best = p.cheapest(p.localityGroupsOf(s), c, p.meansOf(s, now), now)
 	}
@@ -124,8 +125,9 @@
 	return best
 }
 
-// home returns the key's upstream among those that may be tried now.
-func (p *Picker) home(s *view.Service, c Criteria, now time.Time) *view.Upstream {
+// byAffinityKey returns the upstream of the call's affinity key among those that may be
+// tried now.
+func (p *Picker) byAffinityKey(s *view.Service, c Criteria, now time.Time) *view.Upstream {
 	var usable []view.Upstream
 	for i := range s.Upstreams {
 		if p.usable(&s.Upstreams[i], c, now) {
--- a/internal/pick/picker.go
+++ b/internal/pick/picker.go
@@ -31,9 +31,9 @@
 	errorCost = 1.5
 )
 
-// unavailableRetry is when an upstream that was draining, gone or unreachable is tried
-// again: half of what a killed process takes to restart, so that it is found soon, and
-// few attempts fail before.
+// unavailableRetry is the time after which an upstream that was draining, removed or
+// unreachable is tried again: half of what a killed process takes to restart, so that a
+// restarted process soon gets calls again, and few attempts fail before it is ready.
 const unavailableRetry = 500 * time.Millisecond
 
 // stats is what this ingress knows of one upstream.
@@ -189,13 +189,13 @@
 
 // Rendezvous returns the upstream with the highest rendezvous hash for the key.
 func Rendezvous(upstreams []view.Upstream, key string) *view.Upstream {
-	var home *view.Upstream
-	var best uint64
+	var best *view.Upstream
+	var highest uint64
 	for i := range upstreams {
 		h := xxhash.Sum64String(upstreams[i].ID + "\x00" + key)
-		if home == nil || h > best {
-			home, best = &upstreams[i], h
+		if best == nil || h > highest {
+			best, highest = &upstreams[i], h
 		}
 	}
-	return home
+	return best
 }
--- a/internal/pick/picker_test.go
+++ b/internal/pick/picker_test.go
@@ -65,10 +65,9 @@
 	return n
 }
 
-// TestCallsStayInTheirDomainWhileItServesThem: with three quarters of the slots busy in
-// the caller's domain and idle upstreams elsewhere, leaving would gain 90 ms of 400, less
-// than the cost of the bytes only for uploads. At ordinary load, as here, lookups must
-// stay as well: busy slots do not mean a wait yet.
+// TestCallsStayInTheirDomainWhileItServesThem: five of twelve slots are busy in the
+// caller's domain and four in the others. At such an ordinary load, busy slots do not
+// mean a wait yet, so that lookups and uploads must both stay in the caller's domain.
 func TestCallsStayInTheirDomainWhileItServesThem(t *testing.T) {
 	is := is.New(t)
 	r := newPickerFixture("a", "b", "c")
--- a/internal/pick/refusals_test.go
+++ b/internal/pick/refusals_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestSlowUpstreamIsPreferredToOneThatRefuses has a fast upstream refuse all calls next
-// to a slow one that accepts them: a late answer is better than a refusal. In the case it
-// stands for, a third of the upstreams took more than twice as long as the rest and
+// to a slow one that accepts them: a late answer is better than a refusal. In the case that
+// it represents, a third of the upstreams took more than twice as long as the rest and
 // stayed half idle while the others refused calls.
 func TestSlowUpstreamIsPreferredToOneThatRefuses(t *testing.T) {
 	is := is.New(t)
@@ -28,11 +28,11 @@
 	load := func(service time.Duration, inFlight int) outcome.Load {
 		return outcome.Load{InFlight: inFlight, Slots: 4, Service: service}
 	}
-	need := Criteria{Urgency: config.Normal, Objective: 300 * time.Millisecond, Took: 150 * time.Millisecond}
+	criteria := Criteria{Urgency: config.Normal, Objective: 300 * time.Millisecond, Took: 150 * time.Millisecond}
 	var picked int
 	for range 100 {
 		now = now.Add(20 * time.Millisecond)
-		u, _, ok := p.Pick(s, need)
+		u, _, ok := p.Pick(s, criteria)
 		is.True(ok)
 		r := outcome.Refuse(outcome.ReasonOverload, time.Millisecond)
 		r.Load, r.HasLoad = load(80*time.Millisecond, 4), true
--- a/internal/pick/routestats.go
+++ b/internal/pick/routestats.go
@@ -10,11 +10,11 @@
 	routeWeight = 0.1
 	// initialAnswerBytes is the assumed size of an answer before the first one.
 	initialAnswerBytes = 2000
-	// maxTimeGivenDecay is the fraction of the difference by which the longest time that
-	// callers of a route allow decays with each call that is allowed less.
+	// maxTimeGivenDecay is how fast the longest time that callers of a route allow decays:
+	// with each call that is allowed less time, by this fraction of the difference.
 	maxTimeGivenDecay = 0.01
-	// maxTimeGivenFactor bounds that time as a multiple of the route's timeout, so that a
-	// caller with an unlimited deadline does not make all others look late.
+	// maxTimeGivenFactor bounds that longest time as a multiple of the route's timeout,
+	// so that a caller with an unlimited deadline does not make all others look late.
 	maxTimeGivenFactor = 3
 	// maxRoutes bounds the number of routes whose means are kept.
 	maxRoutes = 10_000
@@ -81,7 +81,8 @@
 	return headerBytes + body + int(r.answerBytes), time.Duration(r.took)
 }
 
-// Expect returns how many bytes a call of the route moves, and how long it takes.
+// Expect returns how many bytes a call of the route with this body moves, and how long it
+// takes.
 func (p *Picker) Expect(route string, body int, objective time.Duration) (bytes int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -28,8 +28,8 @@
 }
 
 // Tolerance says how limits are measured and by how much they may be exceeded. A limit
-// allows its rate and its burst in each Window, plus the given Fraction of that
-// sum, plus Calls calls. The excess covers the calls that are admitted before other daemons learn
+// allows its rate and its burst in each Window, plus the given Fraction of that sum, plus
+// Calls calls. The excess covers the calls that are admitted before other daemons learn
 // of them.
 type Tolerance struct {
 	// Window is zero if a burst is allowed only once, as with a plain token bucket.
--- a/internal/quota/lease.go
+++ b/internal/quota/lease.go
@@ -115,8 +115,8 @@
 }
 
 // GrantLeases returns the part of the needed rates that this coordinator leases to the
-// requesting one, for LeaseDuration from now on. The new leases replace those that it granted
-// to that domain before.
+// requesting one, for LeaseDuration from now on. The new leases replace those that it
+// granted to that domain before.
 func (c *Coordinator) GrantLeases(now time.Duration, r LeaseRequest) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/quota/locallimiter.go
+++ b/internal/quota/locallimiter.go
@@ -222,8 +222,8 @@
 }
 
 // RecordDenied records that the coordinator did not grant a call, and returns the call's
-// retry-after time. For minRetryAfter, which is about the time until the next report, further
-// calls of the workspace are denied without a request.
+// retry-after time. For minRetryAfter, which is about the time until the next report,
+// further calls of the workspace are denied without a request.
 func (l *LocalLimiter) RecordDenied(now time.Duration, workspace string) (retryAfter time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -58,8 +58,8 @@
 	Took time.Duration
 }
 
-// Note counts a call. It counts each call to the new version and, for each of them, the next
-// few calls of the same route to other versions.
+// Note counts the call if it went to the new version. For each such call, it also counts the
+// next ControlsPerCall calls of the same route to other versions.
 func (e *Evidence) Note(call Call) {
 	cell := Cell{Route: Hash(call.Route), Target: call.Target, Moved: call.Moved}
 	if call.Upstream != "" {
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -67,8 +67,8 @@
 	return min(multiple*p.Exposure, float64(active)/float64(max(1, active+others)))
 }
 
-// WarmedUp reports whether the warm-up is over at the given time after the order, so that slow
-// answers count as evidence.
+// WarmedUp reports whether the warm-up is over at the given time after the order, so that
+// slow answers count as evidence.
 func (p Plan) WarmedUp(elapsed time.Duration) bool {
 	return elapsed >= min(time.Duration(warmUpFraction*float64(p.Duration)), maxWarmUp)
 }
@@ -81,8 +81,8 @@
 	return min(p.Settle, time.Duration(settleFraction*float64(p.Duration)))
 }
 
-// ChooseCanaries returns the IDs of the canaries among the new version's upstreams. Daemons that
-// know the same upstreams choose the same ones.
+// ChooseCanaries returns the IDs of the canaries among the new version's upstreams. Daemons
+// that know the same upstreams choose the same canaries.
 func (p Plan) ChooseCanaries(ids []string, others int) []string {
 	list := slices.Clone(ids)
 	slices.SortFunc(list, func(a, b string) int {
@@ -91,15 +91,15 @@
 	return list[:min(max(minCanaries, p.ActiveCanaries(Canaries, others)), len(list))]
 }
 
-// ActiveCanaries returns the number of canaries that get calls at the same time: as few as can take
-// the largest share at the load of an upstream of another version, so that they are tested
-// under that load.
+// ActiveCanaries returns the number of canaries that get calls at the same time: as few as
+// can take the largest share at the load of an upstream of another version, so that they are
+// tested under that load.
 func (p Plan) ActiveCanaries(canaries, others int) int {
 	return min(canaries, max(1, int(math.Ceil(loadShare*p.Exposure*float64(others)))))
 }
 
-// FirstActive returns the index of the first active canary at the given time after the order. If
-// fewer than all canaries are active, they take turns.
+// FirstActive returns the index of the first active canary at the given time after the
+// order. If not all canaries are active at the same time, they take turns.
 func (p Plan) FirstActive(elapsed time.Duration, canaries int) int {
 	step := float64(canaries) * float64(elapsed) / ((loadUntil - initialUntil) * float64(p.Duration))
 	return int(step) % max(1, canaries)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -283,15 +283,15 @@
 	return result{false, float64(exposed) / float64(total), ""}
 }
 
-func pickRoute(rng *rand.Rand, parts []float64) int {
+func pickRoute(rng *rand.Rand, shares []float64) int {
 	x := rng.Float64()
-	for i, part := range parts {
-		if x < part {
+	for i, share := range shares {
+		if x < share {
 			return i
 		}
-		x -= part
+		x -= share
 	}
-	return len(parts) - 1
+	return len(shares) - 1
 }
 
 // simulated holds the simulated services, from small to large.
@@ -333,9 +333,9 @@
 	return s
 }
 
-// withBadVersion returns the service with a bad new version. By kind it is bad from the start
-// (0), after some time (1), under load (2) or on one route only (3); it either fails calls or
-// is several times slower.
+// withBadVersion returns the service with a bad new version. By kind it is bad from the
+// start (0), after some time (1), under load (2) or on one route only (3); it either
+// fails calls or is several times slower.
 func (s simulation) withBadVersion(seed uint64, kind int) simulation {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s.failureRate, s.burst, s.burstAt = 0.03*rng.Float64(), 0.2*rng.Float64(), rng.Float64()
@@ -389,8 +389,8 @@
 	}
 }
 
-// TestBadVersionsOfThreeUpstreamsAreReverted checks the same for a service with few upstreams
-// and calls.
+// TestBadVersionsOfThreeUpstreamsAreReverted checks the same for a service with few
+// upstreams and calls.
 func TestBadVersionsOfThreeUpstreamsAreReverted(t *testing.T) { testBadVersions(t, 0) }
 
 // slackCalls is how many calls a bad version may get beyond its share.
--- a/internal/rollout/tally.go
+++ b/internal/rollout/tally.go
@@ -95,9 +95,9 @@
 func isUint32(n int) bool { return n >= 0 && n <= math.MaxUint32 }
 
 const (
-	// ControlsPerCall is how many of the next calls of a route to other versions are counted for
-	// each call to the new version. Events that affect both at the same time and daemon
-	// then have the same weight in both counts.
+	// ControlsPerCall is how many of the next calls of a route to other versions are counted
+	// for each call to the new version. An event that affects both versions at the same
+	// time and at the same daemon then has the same weight in both counts.
 	ControlsPerCall = 4
 	// maxRoutes is the number of routes of a service that are counted separately.
 	maxRoutes = 6
--- a/internal/suspect/table_test.go
+++ b/internal/suspect/table_test.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestTableIsBounded floods a table with requests that are suspected of one crash each. The
-// table must keep MaxRecords records, and must not evict the request that is one crash short of
-// quarantine.
+// TestTableIsBounded floods a table with requests that are suspected of one crash each.
+// The table must keep MaxRecords records, and must not evict the request that is one
+// crash short of quarantine.
 func TestTableIsBounded(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
