--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -254,14 +254,14 @@
 		defer l.requestingLeases.Store(false)
 		leased := false
 		request := quota.LeaseRequest{Domain: l.domain, Needs: l.coordinator.Needs(boottime.Now())}
-		for domain, coordinator := range v.LimitCoordinators {
+		for domain, other := range v.LimitCoordinators {
 			if domain == l.domain || len(request.Needs) == 0 {
 				continue
 			}
 			requestedAt := boottime.Now()
 			var leasedRates map[string]float64
-			if err := l.post(stop, coordinator, PathLeases, request, &leasedRates); err != nil {
-				l.logger.Debug().Str("step", "borrow").Str("peer", coordinator.Daemon).Err(err).Msg("limit coordinator did not answer the lease request; skipping it")
+			if err := l.post(stop, other, PathLeases, request, &leasedRates); err != nil {
+				l.logger.Debug().Str("step", "borrow").Str("peer", other.Daemon).Err(err).Msg("limit coordinator did not answer the lease request; skipping it")
 				continue
 			}
 			l.coordinator.AddLeases(boottime.Now(), requestedAt, domain, leasedRates)
