--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -83,8 +83,8 @@
 	g.closed = ""
 }
 
-// limit returns how many attempts may be in flight now. Each attempt in flight that is
-// estimated to be lost at the upstream makes room for another.
+// limit returns how many attempts may be in flight now. Each attempt in flight whose answer
+// is estimated to be lost allows one more.
 func (g *Gate) limit() int {
 	return g.rampedSlots() + min(g.lost.count(g.now()), maxLostFactor*g.slots)
 }
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -12,7 +12,7 @@
 // Fresh reports whether the configuration may still serve such calls now. bound is the time
 // after which an accepted version must be obeyed by all daemons; zero means that there is no
 // such bound. This is safe because the configuration includes all versions accepted before
-// the timestamp, and one accepted after it need not be obeyed until the bound has passed.
+// the timestamp, and a version accepted after it need not be obeyed until the bound has passed.
 func (t Timestamp) Fresh(now, bound time.Duration) bool {
 	return bound == 0 || t > 0 && now-time.Duration(t) < bound
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -93,8 +93,8 @@
 }
 
 // Update applies a view's limits. Reporting starts with the first view that has limits,
-// and runs until stop is done.
-func (l *Limiter) Update(stop context.Context, v *view.View) {
+// and runs until ctx is done.
+func (l *Limiter) Update(ctx context.Context, v *view.View) {
 	l.view.Store(v)
 	if v.Routes == nil {
 		return
@@ -102,7 +102,7 @@
 	limits := v.Routes.CallLimits()
 	l.coordinator.Set(limits, max(v.Domains, len(v.LimitCoordinators)))
 	if len(limits) > 0 {
-		l.startReporting.Do(func() { go l.run(stop) })
+		l.startReporting.Do(func() { go l.run(ctx) })
 	}
 }
 
@@ -168,7 +168,7 @@
 }
 
 // run reports to the coordinator until the daemon stops.
-func (l *Limiter) run(stop context.Context) {
+func (l *Limiter) run(ctx context.Context) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	var lastRequestAt time.Duration
@@ -176,14 +176,14 @@
 		select {
 		case <-ticker.C:
 		case <-l.reportNow:
-		case <-stop.Done():
+		case <-ctx.Done():
 			l.resolveWaiters(l.takeWaiters(), nil)
 			return
 		}
-		l.report(stop)
+		l.report(ctx)
 		if now := boottime.Now(); now-lastRequestAt >= time.Duration(l.leaseInterval.Load()) {
 			lastRequestAt = now
-			l.requestLeases(stop)
+			l.requestLeases(ctx)
 		}
 	}
 }
@@ -208,7 +208,7 @@
 
 // report sends the counts of admitted calls to the coordinator and requests grants for
 // the waiting calls.
-func (l *Limiter) report(stop context.Context) {
+func (l *Limiter) report(ctx context.Context) {
 	v := l.view.Load()
 	waiting := l.takeWaiters()
 	if len(waiting) == 0 && l.localLimiter.Idle(boottime.Now()) {
@@ -222,7 +222,7 @@
 		r.Wanted[name] = len(list)
 	}
 	requestedAt := boottime.Now()
-	reply, err := l.sendReport(stop, v.LimitCoordinators[l.domain], r)
+	reply, err := l.sendReport(ctx, v.LimitCoordinators[l.domain], r)
 	if err != nil {
 		l.failedRequests.Inc(1)
 		l.logger.Debug().Str("step", "report to keeper").Str("peer", v.LimitCoordinators[l.domain].Daemon).Err(err).Msg("limit coordinator did not answer; refusing the waiting calls and reporting the counts again")
@@ -235,17 +235,17 @@
 }
 
 // sendReport delivers a report to the coordinator.
-func (l *Limiter) sendReport(stop context.Context, coordinator view.LimitCoordinator, r quota.Report) (reply quota.Reply, err error) {
+func (l *Limiter) sendReport(ctx context.Context, coordinator view.LimitCoordinator, r quota.Report) (reply quota.Reply, err error) {
 	if coordinator.Local {
 		return l.coordinator.HandleReport(boottime.Now(), r), nil
 	}
 	l.requests.Inc(1)
-	return reply, l.post(stop, coordinator, PathReport, r, &reply)
+	return reply, l.post(ctx, coordinator, PathReport, r, &reply)
 }
 
 // requestLeases requests leases from the coordinators of other failure domains for the rates
 // that this one lacks. It does nothing unless this daemon is the coordinator of its domain.
-func (l *Limiter) requestLeases(stop context.Context) {
+func (l *Limiter) requestLeases(ctx context.Context) {
 	v := l.view.Load()
 	if !v.LimitCoordinators[l.domain].Local || !l.requestingLeases.CompareAndSwap(false, true) {
 		return
@@ -260,7 +260,7 @@
 			}
 			requestedAt := boottime.Now()
 			var leasedRates map[string]float64
-			if err := l.post(stop, other, PathLeases, request, &leasedRates); err != nil {
+			if err := l.post(ctx, other, PathLeases, request, &leasedRates); err != nil {
 				l.logger.Debug().Str("step", "borrow").Str("peer", other.Daemon).Err(err).Msg("limit coordinator did not answer the lease request; skipping it")
 				continue
 			}
@@ -272,7 +272,7 @@
 	}()
 }
 
-func (l *Limiter) post(stop context.Context, coordinator view.LimitCoordinator, path string, body, reply any) error {
+func (l *Limiter) post(ctx context.Context, coordinator view.LimitCoordinator, path string, body, reply any) error {
 	if coordinator.Owner == "" {
 		return errors.New("no limit coordinator is known")
 	}
@@ -280,7 +280,7 @@
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequestWithContext(stop, http.MethodPost, "http://"+coordinator.Owner+path, bytes.NewReader(b))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+coordinator.Owner+path, bytes.NewReader(b))
 	if err != nil {
 		return err
 	}
--- a/internal/pick/cost.go
+++ b/internal/pick/cost.go
@@ -24,7 +24,7 @@
 	st := p.stats[u.ID]
 	cost := late/(1+late) + objectiveTimeCost*objectiveFraction + p.refusalCostOf(u.Service, st, c.Urgency, now)
 	if st != nil {
-		cost += errorCost * st.errors * st.errors
+		cost += errorCost * st.errorRate * st.errorRate
 	}
 	return cost
 }
--- a/internal/pick/pick.go
+++ b/internal/pick/pick.go
@@ -147,8 +147,8 @@
 }
 
 // maxDraws is how many upstreams are drawn at random to find two usable ones before the
-// whole list is searched: with half of the upstreams unusable, one pick in fifty needs
-// the search.
+// whole list is searched. With half of the upstreams of a long list unusable, about one
+// selection in 28 searches the whole list.
 const maxDraws = 8
 
 // twoUsable returns two random upstreams of the list that may be tried now, or fewer if
--- a/internal/pick/picker.go
+++ b/internal/pick/picker.go
@@ -41,7 +41,7 @@
 	outstanding int
 	load        outcome.Load
 	loadAt      time.Time
-	errors      float64
+	errorRate   float64
 	// avoidUntil is, by urgency, the time until which the owner asked to send no calls. A
 	// refusal says nothing about more urgent calls, which may displace waiting ones.
 	avoidUntil [config.MostUrgent + 1]time.Time
@@ -112,9 +112,9 @@
 	case r.Outcome == outcome.NotRun && r.RetryAfter > 0:
 		st.avoid(urgency, p.now().Add(r.RetryAfter))
 	case r.Outcome == outcome.Answered && r.Status < 500:
-		st.errors -= errorWeight * st.errors
+		st.errorRate -= errorWeight * st.errorRate
 	case r.Outcome != outcome.NotRun && r.Reason != outcome.ReasonCancelled:
-		st.errors += errorWeight * (1 - st.errors)
+		st.errorRate += errorWeight * (1 - st.errorRate)
 	}
 }
 
--- a/internal/pick/picker_test.go
+++ b/internal/pick/picker_test.go
@@ -30,37 +30,37 @@
 }
 
 func newPickerFixture(domains ...string) *pickerFixture {
-	r := &pickerFixture{at: time.Unix(1000, 0), service: &view.Service{Service: config.Service{Name: "s"}}}
-	r.Picker = New("a", testByteCost, func() time.Time { return r.at }, 1)
+	f := &pickerFixture{at: time.Unix(1000, 0), service: &view.Service{Service: config.Service{Name: "s"}}}
+	f.Picker = New("a", testByteCost, func() time.Time { return f.at }, 1)
 	for _, d := range domains {
 		for i := range 3 {
 			id := fmt.Sprintf("%s%d", d, i)
-			r.service.Upstreams = append(r.service.Upstreams, view.Upstream{ID: id, Domain: d, Owner: id, Slots: 12})
+			f.service.Upstreams = append(f.service.Upstreams, view.Upstream{ID: id, Domain: d, Owner: id, Slots: 12})
 		}
 	}
-	return r
+	return f
 }
 
 // reportLoad records the same load report for all upstreams of a failure domain.
-func (r *pickerFixture) reportLoad(domain string, l outcome.Load) {
-	for i := range r.service.Upstreams {
-		if u := &r.service.Upstreams[i]; u.Domain == domain {
-			r.Observe(*u, config.Normal, outcome.Result{Outcome: outcome.Answered, Status: 200, Load: l, HasLoad: true})
+func (f *pickerFixture) reportLoad(domain string, l outcome.Load) {
+	for i := range f.service.Upstreams {
+		if u := &f.service.Upstreams[i]; u.Domain == domain {
+			f.Observe(*u, config.Normal, outcome.Result{Outcome: outcome.Answered, Status: 200, Load: l, HasLoad: true})
 		}
 	}
 }
 
 // pickedDomains returns how many of 300 calls are sent to each failure domain.
-func (r *pickerFixture) pickedDomains(bytes int) map[string]int {
+func (f *pickerFixture) pickedDomains(bytes int) map[string]int {
 	n := map[string]int{}
 	for range 300 {
-		u, _, ok := r.Pick(r.service, Criteria{Urgency: config.Normal, Objective: testObjective, Took: testService, Bytes: bytes})
+		u, _, ok := f.Pick(f.service, Criteria{Urgency: config.Normal, Objective: testObjective, Took: testService, Bytes: bytes})
 		if !ok {
 			n["none"]++
 			continue
 		}
 		n[u.Domain]++
-		r.Finished(u)
+		f.Finished(u)
 	}
 	return n
 }
@@ -70,12 +70,12 @@
 // mean a wait yet, so that lookups and uploads must both stay in the caller's domain.
 func TestCallsStayInTheirDomainWhileItServesThem(t *testing.T) {
 	is := is.New(t)
-	r := newPickerFixture("a", "b", "c")
-	r.reportLoad("a", outcome.Load{InFlight: 5, Slots: 12, Service: testService})
-	r.reportLoad("b", outcome.Load{InFlight: 4, Slots: 12, Service: testService})
-	r.reportLoad("c", outcome.Load{InFlight: 4, Slots: 12, Service: testService})
-	is.Equal(r.pickedDomains(testLookup)["a"], 300)
-	is.Equal(r.pickedDomains(testUpload)["a"], 300)
+	f := newPickerFixture("a", "b", "c")
+	f.reportLoad("a", outcome.Load{InFlight: 5, Slots: 12, Service: testService})
+	f.reportLoad("b", outcome.Load{InFlight: 4, Slots: 12, Service: testService})
+	f.reportLoad("c", outcome.Load{InFlight: 4, Slots: 12, Service: testService})
+	is.Equal(f.pickedDomains(testLookup)["a"], 300)
+	is.Equal(f.pickedDomains(testUpload)["a"], 300)
 }
 
 // TestShortCallsLeaveAFullDomain: the upstreams of the caller's domain have a queue as
@@ -83,12 +83,12 @@
 // than sending an upload.
 func TestShortCallsLeaveAFullDomain(t *testing.T) {
 	is := is.New(t)
-	r := newPickerFixture("a", "b", "c")
-	r.reportLoad("a", outcome.Load{InFlight: 12, Queued: 12, Slots: 12, Service: testService})
-	r.reportLoad("b", outcome.Load{InFlight: 4, Slots: 12, Service: testService})
-	r.reportLoad("c", outcome.Load{InFlight: 4, Slots: 12, Service: testService})
-	is.Equal(r.pickedDomains(testLookup)["a"], 0)
-	is.Equal(r.pickedDomains(testUpload)["a"], 300)
+	f := newPickerFixture("a", "b", "c")
+	f.reportLoad("a", outcome.Load{InFlight: 12, Queued: 12, Slots: 12, Service: testService})
+	f.reportLoad("b", outcome.Load{InFlight: 4, Slots: 12, Service: testService})
+	f.reportLoad("c", outcome.Load{InFlight: 4, Slots: 12, Service: testService})
+	is.Equal(f.pickedDomains(testLookup)["a"], 0)
+	is.Equal(f.pickedDomains(testUpload)["a"], 300)
 }
 
 // TestUploadsAreRefusedRatherThanSentToAnotherDomain: the upstreams of the caller's
@@ -97,14 +97,14 @@
 // upstream at all, it is sent there nevertheless.
 func TestUploadsAreRefusedRatherThanSentToAnotherDomain(t *testing.T) {
 	is := is.New(t)
-	r := newPickerFixture("a", "b")
+	f := newPickerFixture("a", "b")
 	for i := range 3 {
-		r.Observe(r.service.Upstreams[i], config.Normal, outcome.Refuse(outcome.ReasonOverload, time.Second))
+		f.Observe(f.service.Upstreams[i], config.Normal, outcome.Refuse(outcome.ReasonOverload, time.Second))
 	}
-	is.Equal(r.pickedDomains(testUpload)["none"], 300)
-	is.Equal(r.pickedDomains(testLookup)["b"], 300)
-	r.service.Upstreams = r.service.Upstreams[3:]
-	is.Equal(r.pickedDomains(testUpload)["b"], 300)
+	is.Equal(f.pickedDomains(testUpload)["none"], 300)
+	is.Equal(f.pickedDomains(testLookup)["b"], 300)
+	f.service.Upstreams = f.service.Upstreams[3:]
+	is.Equal(f.pickedDomains(testUpload)["b"], 300)
 }
 
 // TestRefusalCarriesTheOwnersRetryAfter: all upstreams of the domain were tried and
@@ -112,13 +112,13 @@
 // that is used when nothing is known.
 func TestRefusalCarriesTheOwnersRetryAfter(t *testing.T) {
 	is := is.New(t)
-	r := newPickerFixture("a")
+	f := newPickerFixture("a")
 	var tried []string
-	for _, u := range r.service.Upstreams {
-		r.Observe(u, config.Normal, outcome.Refuse(outcome.ReasonOverload, 80*time.Millisecond))
+	for _, u := range f.service.Upstreams {
+		f.Observe(u, config.Normal, outcome.Refuse(outcome.ReasonOverload, 80*time.Millisecond))
 		tried = append(tried, u.ID)
 	}
-	_, refusal, ok := r.Pick(r.service, Criteria{Urgency: config.Normal, Objective: testObjective, Tried: tried})
+	_, refusal, ok := f.Pick(f.service, Criteria{Urgency: config.Normal, Objective: testObjective, Tried: tried})
 	is.True(!ok)
 	is.Equal(refusal.RetryAfter, 80*time.Millisecond)
 }
@@ -129,12 +129,12 @@
 // way, and told callers to retry after a second where the owners had said 20 ms.
 func TestRefusalWithoutAnAttemptCarriesTheOwnersRetryAfter(t *testing.T) {
 	is := is.New(t)
-	r := newPickerFixture("a")
-	for i, u := range r.service.Upstreams {
-		r.Observe(u, config.Normal, outcome.Refuse(outcome.ReasonOverload, time.Duration(i+3)*10*time.Millisecond))
+	f := newPickerFixture("a")
+	for i, u := range f.service.Upstreams {
+		f.Observe(u, config.Normal, outcome.Refuse(outcome.ReasonOverload, time.Duration(i+3)*10*time.Millisecond))
 	}
-	r.at = r.at.Add(5 * time.Millisecond)
-	_, refusal, ok := r.Pick(r.service, Criteria{Urgency: config.Normal, Objective: testObjective})
+	f.at = f.at.Add(5 * time.Millisecond)
+	_, refusal, ok := f.Pick(f.service, Criteria{Urgency: config.Normal, Objective: testObjective})
 	is.True(!ok)
 	is.Equal(refusal, outcome.Refuse(outcome.ReasonOverload, 25*time.Millisecond))
 }
@@ -143,14 +143,14 @@
 // be reported as overloaded.
 func TestRefusalReasonTellsUnreachableFromOverload(t *testing.T) {
 	is := is.New(t)
-	r := newPickerFixture("a")
-	for _, u := range r.service.Upstreams {
-		r.SetDown(u.Owner, true)
+	f := newPickerFixture("a")
+	for _, u := range f.service.Upstreams {
+		f.SetDown(u.Owner, true)
 	}
-	_, refusal, _ := r.Pick(r.service, Criteria{Urgency: config.Normal, Objective: testObjective})
+	_, refusal, _ := f.Pick(f.service, Criteria{Urgency: config.Normal, Objective: testObjective})
 	is.Equal(refusal, outcome.Refuse(outcome.ReasonUnreachable, DefaultRetryAfter))
-	r.service.Upstreams = nil
-	_, refusal, _ = r.Pick(r.service, Criteria{Urgency: config.Normal, Objective: testObjective})
+	f.service.Upstreams = nil
+	_, refusal, _ = f.Pick(f.service, Criteria{Urgency: config.Normal, Objective: testObjective})
 	is.Equal(refusal, outcome.Refuse(outcome.ReasonNoUpstream, DefaultRetryAfter))
 }
 
@@ -160,16 +160,16 @@
 // An upstream that fails nine times in ten must get no calls.
 func TestOccasionalErrorsDoNotSendCallsToAnotherDomain(t *testing.T) {
 	is := is.New(t)
-	r := newPickerFixture("a", "b")
-	r.reportLoad("a", outcome.Load{InFlight: 4, Slots: 12, Service: testService})
+	f := newPickerFixture("a", "b")
+	f.reportLoad("a", outcome.Load{InFlight: 4, Slots: 12, Service: testService})
 	for i := range 3 {
-		r.stats[r.service.Upstreams[i].ID].errors = 0.1
+		f.stats[f.service.Upstreams[i].ID].errorRate = 0.1
 	}
-	is.Equal(r.pickedDomains(testLookup)["a"], 300)
-	r.stats["a1"].errors = 0.9
+	is.Equal(f.pickedDomains(testLookup)["a"], 300)
+	f.stats["a1"].errorRate = 0.9
 	for range 300 {
-		u, _, _ := r.Pick(r.service, Criteria{Urgency: config.Normal, Objective: testObjective, Took: testService, Bytes: testLookup})
+		u, _, _ := f.Pick(f.service, Criteria{Urgency: config.Normal, Objective: testObjective, Took: testService, Bytes: testLookup})
 		is.True(u.ID != "a1")
-		r.Finished(u)
+		f.Finished(u)
 	}
 }
--- a/internal/pick/refusals.go
+++ b/internal/pick/refusals.go
@@ -75,7 +75,7 @@
 
 // refusalRate returns the estimated fraction of the calls of an urgency that an owner
 // refuses. An owner without recent calls counts like the mean of its service; otherwise a
-// daemon in a fleet of hundreds would send its calls to those that it knows nothing
+// daemon in a fleet of hundreds would send its calls to the owners that it knows nothing
 // about.
 func (p *Picker) refusalRate(service string, st *stats, urgency config.Urgency, now time.Time) float64 {
 	all := p.refusals[service]
--- a/internal/pick/routestats.go
+++ b/internal/pick/routestats.go
@@ -96,7 +96,7 @@
 	p.routes.record(route, size, took)
 }
 
-// Waited returns how long a caller with so much time left has probably waited already.
+// Waited returns how long a caller with the given time left has probably waited already.
 func (p *Picker) Waited(route string, left, timeout time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -78,8 +78,8 @@
 	// startupRateFraction is the part of its rate that a coordinator gives out in its
 	// first LeaseDuration: what its predecessor leased to other domains may still be in use.
 	startupRateFraction = 0.75
-	// maxReportGap is the time without reports after which a coordinator starts anew:
-	// daemons have meanwhile admitted calls that it has not counted.
+	// maxReportGap is the time without reports after which a coordinator resets its
+	// buckets: daemons have meanwhile admitted calls that it has not counted.
 	maxReportGap = time.Second
 	// minRetryAfter and maxRetryAfter bound the retry-after times of refused calls.
 	minRetryAfter = 100 * time.Millisecond
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -481,10 +481,10 @@
 					n++
 				}
 			}
-			part := float64(n) / (f.limits[s.name].Rate * (until - from).Seconds())
-			t.Logf("%d daemons, %s at %.0f calls/s: %.3f of its rate admitted", size.daemons, s.name, f.limits[s.name].Rate, part)
-			if part < 0.95 {
-				t.Errorf("%d daemons, %s: %.3f of its rate admitted, want at least 0.95", size.daemons, s.name, part)
+			fraction := float64(n) / (f.limits[s.name].Rate * (until - from).Seconds())
+			t.Logf("%d daemons, %s at %.0f calls/s: %.3f of its rate admitted", size.daemons, s.name, f.limits[s.name].Rate, fraction)
+			if fraction < 0.95 {
+				t.Errorf("%d daemons, %s: %.3f of its rate admitted, want at least 0.95", size.daemons, s.name, fraction)
 			}
 		}
 	}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -11,9 +11,9 @@
 
 const (
 	// initialUntil, loadUntil and moveFrom divide a rollout into steps, as fractions of
-	// its duration. Up to initialUntil the new version gets a small share of the calls, up
-	// to loadUntil a share that shows how it performs under load. Up to moveFrom the
-	// results of that are gathered and judged at a reduced share; then all calls move.
+	// its duration. Until initialUntil the new version gets a small share of the calls, and
+	// until loadUntil a share that shows how it performs under load. Until moveFrom its
+	// share is reduced while the results are gathered and judged; then all calls move.
 	initialUntil = 0.4
 	loadUntil    = 0.55
 	moveFrom     = 0.72
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -134,8 +134,8 @@
 	duration time.Duration
 	// routes holds the share of the calls of each route.
 	routes []float64
-	// failureRate is the fraction of calls that always fail. burst is added to it for a
-	// while from burstAt on, a fraction of the duration.
+	// failureRate is the fraction of the calls that fail at any time. burst is added to it
+	// for a fifth of the duration, which begins at the fraction burstAt of the duration.
 	failureRate, burst float64
 	burstAt            float64
 	// bad is the defect of the new version.
@@ -151,8 +151,9 @@
 	// above zero, are slow.
 	probability   float64
 	latencyFactor float64
-	// The defect shows from the fraction from of the duration on, at upstreams with at
-	// least the load load, where an upstream of another version has 1.
+	// from is the fraction of the duration after which the defect shows; load is the
+	// least load of an upstream at which it shows, where an upstream of another version
+	// has a load of 1.
 	from, load float64
 	// route is the only route affected, or -1 for all.
 	route int
--- a/internal/suspect/recent.go
+++ b/internal/suspect/recent.go
@@ -7,7 +7,7 @@
 
 const (
 	// recentWindow is the length of a window. An answered request is remembered for one
-	// to two windows, or for less if maxRecent is reached. That is ample: a request of
+	// to two windows, or for less if maxRecent is reached. That is long enough: a request of
 	// which three copies run in a fifth of a fleet at once is answered by each upstream
 	// every few seconds.
 	recentWindow = 30 * time.Second
