--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -25,8 +25,8 @@
 	// ParentServedFraction is the recently served fraction of the direct calls, those that
 	// are not nested, at the upstream that makes a nested call.
 	ParentServedFraction float64
-	// WaitFraction is the fraction, from 0 to 1, of the allowed wait that a nested call may
-	// use. It is the same for all nested calls of one caller's request.
+	// WaitFraction is the fraction, from 0 to 1, of the allowed wait that a nested call
+	// without priority may use. It is the same for all nested calls of one caller's request.
 	WaitFraction float64
 	Deadline     time.Time
 	// Objective is the time by which the answer should arrive, or zero if only the
--- a/internal/suspect/record.go
+++ b/internal/suspect/record.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// QuarantineThreshold is the number of crashes of upstreams that ran a request from
-	// which on it is quarantined. One crash makes suspects of all requests that ran at the
+	// QuarantineThreshold is the number of crashes after which a request is quarantined,
+	// each of an upstream that was running the request. One crash makes suspects of all requests that ran at the
 	// upstream, 16 or more. It is still common that a harmless request is suspected of two
 	// crashes where calls are retried at other upstreams, but not that it is suspected of
 	// three without an answer in between.
