--- a/internal/pick/picker.go
+++ b/internal/pick/picker.go
@@ -31,9 +31,9 @@
 	errorCost = 1.5
 )
 
-// unavailableRetry is when an upstream that was draining, gone or unreachable is tried
-// again: half of what a killed process takes to restart, so that it is found soon, and
-// few attempts fail before.
+// unavailableRetry is the time after which an upstream that was draining, removed or
+// unreachable is tried again: half of what a killed process takes to restart, so that a
+// restarted process soon gets calls again, and few attempts fail before it is ready.
 const unavailableRetry = 500 * time.Millisecond
 
 // stats is what this ingress knows of one upstream.
@@ -41,7 +41,7 @@
 	outstanding int
 	load        outcome.Load
 	loadAt      time.Time
-	errors      float64
+	errorRate   float64
 	// avoidUntil is, by urgency, the time until which the owner asked to send no calls. A
 	// refusal says nothing about more urgent calls, which may displace waiting ones.
 	avoidUntil [config.MostUrgent + 1]time.Time
@@ -112,9 +112,9 @@
 	case r.Outcome == outcome.NotRun && r.RetryAfter > 0:
 		st.avoid(urgency, p.now().Add(r.RetryAfter))
 	case r.Outcome == outcome.Answered && r.Status < 500:
-		st.errors -= errorWeight * st.errors
+		st.errorRate -= errorWeight * st.errorRate
 	case r.Outcome != outcome.NotRun && r.Reason != outcome.ReasonCancelled:
-		st.errors += errorWeight * (1 - st.errors)
+		st.errorRate += errorWeight * (1 - st.errorRate)
 	}
 }
 
@@ -189,13 +189,13 @@
 
 // Rendezvous returns the upstream with the highest rendezvous hash for the key.
 func Rendezvous(upstreams []view.Upstream, key string) *view.Upstream {
-	var home *view.Upstream
-	var best uint64
+	var best *view.Upstream
+	var highest uint64
 	for i := range upstreams {
 		h := xxhash.Sum64String(upstreams[i].ID + "\x00" + key)
-		if home == nil || h > best {
-			home, best = &upstreams[i], h
+		if best == nil || h > highest {
+			best, highest = &upstreams[i], h
 		}
 	}
-	return home
+	return best
 }
