--- a/internal/system/config.go
+++ b/internal/system/config.go
@@ -263,7 +263,7 @@
 	if w.Ready && w.Self.Heartbeat.Applied != version {
 		w.Self.Heartbeat.Applied = version
 		w.Self.Heartbeat.Seq++
-		queueRenewal(w, now, w.Self.ID, 0)
+		queueHeartbeat(w, now, w.Self.ID, 0)
 		out.event(event.Event{Kind: event.Applied, Version: version})
 	}
 }
--- a/internal/system/gossip.go
+++ b/internal/system/gossip.go
@@ -14,9 +14,9 @@
 	startGossipWindow(w, now)
 }
 
-// queueRenewal queues a member's renewal for the current gossip window, unless its whole
+// queueHeartbeat queues a member's renewal for the current gossip window, unless its whole
 // record is queued already.
-func queueRenewal(w *table.World, now time.Time, id string, from table.LinkID) {
+func queueHeartbeat(w *table.World, now time.Time, id string, from table.LinkID) {
 	if _, ok := w.Outgoing.Records[id]; ok {
 		return
 	}
@@ -63,15 +63,15 @@
 			continue
 		}
 		if id == w.Self.ID {
-			m.Heartbeats = append(m.Heartbeats, beatOf(w.Self))
+			m.Heartbeats = append(m.Heartbeats, heartbeatOf(w.Self))
 		} else if row := w.Members[id]; row != nil {
-			m.Heartbeats = append(m.Heartbeats, beatOf(row.Member))
+			m.Heartbeats = append(m.Heartbeats, heartbeatOf(row.Member))
 		}
 	}
 	return m
 }
 
-func beatOf(m wire.Member) wire.MemberHeartbeat {
+func heartbeatOf(m wire.Member) wire.MemberHeartbeat {
 	return wire.MemberHeartbeat{ID: m.ID, Incarnation: m.Incarnation, Heartbeat: m.Heartbeat}
 }
 
--- a/internal/system/member.go
+++ b/internal/system/member.go
@@ -10,10 +10,10 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// forgetAfter is how long a lapsed record is kept. It prevents old copies from bringing
+// lapsedRetention is how long a lapsed record is kept. It prevents old copies from bringing
 // the member back, keeps the member's floor, and lets failure domains find each other
 // after a partition.
-const forgetAfter = 24 * time.Hour
+const lapsedRetention = 24 * time.Hour
 
 // touchSelf starts a new revision of this daemon's own record.
 func touchSelf(w *table.World) {
@@ -31,7 +31,7 @@
 		mergeMember(w, now, from, rec, out)
 	}
 	for _, beat := range m.Heartbeats {
-		mergeBeat(w, now, from, beat)
+		mergeHeartbeat(w, now, from, beat)
 	}
 }
 
@@ -63,7 +63,7 @@
 		row.Heartbeat = rec.Heartbeat
 		row.Heard = latestTime(row.Heard, heard)
 		row.Floor = max(row.Floor, rec.Heartbeat.Applied)
-		revive(w, now, row)
+		clearLapse(w, now, row)
 		return
 	default:
 		return
@@ -101,7 +101,7 @@
 	}
 }
 
-func mergeBeat(w *table.World, now time.Time, from table.LinkID, b wire.MemberHeartbeat) {
+func mergeHeartbeat(w *table.World, now time.Time, from table.LinkID, b wire.MemberHeartbeat) {
 	row := w.Members[b.ID]
 	if row == nil || row.Incarnation != b.Incarnation || b.Seq <= row.Heartbeat.Seq {
 		return
@@ -109,12 +109,12 @@
 	row.Heartbeat = b.Heartbeat
 	row.Floor = max(row.Floor, b.Applied)
 	row.Heard = now
-	revive(w, now, row)
-	queueRenewal(w, now, b.ID, from)
+	clearLapse(w, now, row)
+	queueHeartbeat(w, now, b.ID, from)
 }
 
-// revive makes a lapsed member live again after a renewal.
-func revive(w *table.World, now time.Time, row *table.Member) {
+// clearLapse makes a lapsed member live again after a renewal.
+func clearLapse(w *table.World, now time.Time, row *table.Member) {
 	if row.Lapsed && now.Sub(row.Heard) <= w.Params.Lapse && !w.Displaced(row.Member) {
 		row.Lapsed = false
 		w.MembersChanged()
@@ -131,7 +131,7 @@
 		if w.SelfDirty {
 			queueRecord(w, now, w.Self.ID, 0)
 		} else {
-			queueRenewal(w, now, w.Self.ID, 0)
+			queueHeartbeat(w, now, w.Self.ID, 0)
 		}
 		w.SelfDirty = false
 	}
@@ -142,7 +142,7 @@
 	for id, row := range w.Members {
 		silence := now.Sub(row.Heard)
 		switch {
-		case silence > forgetAfter:
+		case silence > lapsedRetention:
 			w.RemoveMember(id)
 		case silence > w.Params.Lapse && !row.Lapsed:
 			row.Lapsed = true
@@ -228,8 +228,8 @@
 	}
 }
 
-// answerMembersWant sends the records that match the requested digests.
-func answerMembersWant(w *table.World, now time.Time, l *table.Link, m wire.MembersRequest, out *Outbox) {
+// answerMembersRequest sends the records that match the requested digests.
+func answerMembersRequest(w *table.World, now time.Time, l *table.Link, m wire.MembersRequest, out *Outbox) {
 	held := w.MembersByDigest()
 	var records wire.Members
 	for d := range digestsIn(m.Digests) {
--- a/internal/system/rollouts.go
+++ b/internal/system/rollouts.go
@@ -168,7 +168,7 @@
 		runRollout(w, now, w.Rollouts[service], out)
 	}
 	if !now.Before(w.NextTally) {
-		w.NextTally = now.Add(tallyEvery)
+		w.NextTally = now.Add(tallyInterval)
 		forwardTallies(w, out)
 	}
 	forwardRollouts(w, now, out)
--- a/internal/system/system.go
+++ b/internal/system/system.go
@@ -237,7 +237,7 @@
 	case wire.MembersDigests:
 		requestUnknownMembers(w, l, m, out)
 	case wire.MembersRequest:
-		answerMembersWant(w, now, l, m, out)
+		answerMembersRequest(w, now, l, m, out)
 	case wire.Pull:
 		answerPull(w, now, l, m, out)
 	case wire.Records:
--- a/internal/system/tallies.go
+++ b/internal/system/tallies.go
@@ -11,9 +11,9 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// tallyEvery is the interval at which tallies of rollouts are sent. A bad version must be
+// tallyInterval is the interval at which tallies of rollouts are sent. A bad version must be
 // stopped within seconds, over a tree of three levels.
-const tallyEvery = 700 * time.Millisecond
+const tallyInterval = 700 * time.Millisecond
 
 // judgeRollout stops the rollout of a version that performs worse than the others.
 func judgeRollout(w *table.World, r *table.Rollout, target []string, others int, out *Outbox) {
--- a/internal/table/link.go
+++ b/internal/table/link.go
@@ -11,10 +11,11 @@
 // means no connection.
 type LinkID uint64
 
-// Link is a control connection to another daemon.
+// Link is a control connection to another daemon, the peer.
 type Link struct {
 	ID LinkID
-	// Peer is the ID of the member at the other end, "" until its hello has arrived.
+	// Peer is the ID of the member that this daemon is connected to, "" until its hello has
+	// arrived.
 	Peer   string
 	Domain string
 	// Dialed is set if this daemon opened the connection.
@@ -28,37 +29,38 @@
 	// Addr is the address that was dialed.
 	Addr   string
 	Opened time.Time
-	// HeardAt is when a message last arrived; EchoAt is when the other end last
-	// confirmed a ping from here.
+	// HeardAt is when a message last arrived; EchoAt is when the peer last acknowledged a
+	// ping of this daemon.
 	HeardAt time.Time
 	EchoAt  time.Time
 
-	// PingSeq and PingAt are the number and time of the last ping sent. SeenSeq is the
-	// highest number received, Echoed the highest one that the other end confirmed.
+	// PingSeq and PingAt are the sequence number and the time of the last ping sent.
+	// SeenSeq is the highest number received, Echoed the highest number that the peer
+	// acknowledged.
 	PingSeq uint64
 	PingAt  time.Time
 	SeenSeq uint64
 	Echoed  uint64
-	// Base, Position and Hash identify the configuration that the other end holds;
-	// Members is the digest of the members that it knows.
+	// Base, Position and Hash identify the configuration that the peer holds; Members is
+	// the digest of the members that the peer knows.
 	Base     uint64
 	Position uint64
 	Hash     string
 	Members  uint64
-	// TakesSuspects is set if the other end accepts records of suspects.
+	// TakesSuspects is set if the peer accepts records of suspects.
 	TakesSuspects bool
-	// TakesRollouts is set if the other end accepts the states of rollouts.
+	// TakesRollouts is set if the peer accepts the states of rollouts.
 	TakesRollouts bool
-	// TakesConfirmations is set if the other end accepts confirmations of freshness.
+	// TakesConfirmations is set if the peer accepts confirmations of freshness.
 	TakesConfirmations bool
 	// Pings holds the send times of the last pings.
 	Pings freshness.SendTimes
-	// Confirmation is the other end's last confirmation of the freshness of its configuration;
-	// Vouched is the timestamp in the last confirmation sent to it.
+	// Confirmation is the peer's last confirmation of the freshness of its configuration.
+	// ConfirmationSent is the timestamp in the last confirmation sent to the peer.
 	Confirmation     Confirmation
 	ConfirmationSent freshness.Timestamp
-	// Tallies are the counts of calls during rollouts that the other end has gathered
-	// from its own calls and from the daemons beyond it, by service.
+	// Tallies are the counts of calls during rollouts that the peer has summed over its
+	// own calls and those of the daemons below it in the distribution tree, by service.
 	Tallies map[string]wire.Tally
 	// Sent is the position up to which records were pushed.
 	Sent uint64
@@ -68,7 +70,7 @@
 	MembersPulled time.Time
 }
 
-// Up reports whether the other end's hello has arrived.
+// Up reports whether the peer's hello has arrived.
 func (l *Link) Up() bool { return l.Peer != "" }
 
 // LinkTo returns a connection to the member other than a probe, or nil.
@@ -107,7 +109,7 @@
 	b.Until = now.Add(wait/2 + jitter)
 }
 
-// DeferDial records that the daemon at the address asked not to be dialed before until.
+// DeferDial records that the daemon at the address requested not to be dialed before until.
 func (w *World) DeferDial(addr string, until time.Time) {
 	b := w.backoff(addr)
 	b.Dialing = false
--- a/internal/table/member.go
+++ b/internal/table/member.go
@@ -14,7 +14,8 @@
 // Member is this daemon's record of another daemon.
 type Member struct {
 	wire.Member
-	// Heard is when the member's last renewal arrived here.
+	// Heard is when the member last renewed its record: when its last heartbeat arrived,
+	// or when its last record arrived, less the age stated in that record.
 	Heard time.Time
 	// Lapsed is set if the member did not renew its record in time, or was displaced at
 	// its address. It is then ignored, but the row is kept, so that an old copy of the
@@ -51,8 +52,8 @@
 }
 
 // MembersChanged must be called after every change to the set of live members or to their
-// records, but not after mere renewals. Otherwise the tree and the digests would be computed
-// from outdated members.
+// records. Heartbeats do not count as changes. Without the call, the tree and the digests
+// would be computed from outdated members.
 func (w *World) MembersChanged() {
 	w.derived = derived{holders: w.derived.holders, orders: w.derived.orders, ordersStale: true, ordersRenewedAt: w.derived.ordersRenewedAt}
 	w.ViewSoon = true
@@ -60,8 +61,8 @@
 
 // RenewOrders drops the orders cached by Order if members have changed since, at most once
 // per interval: while many daemons start, each record that arrives changes the order.
-func (w *World) RenewOrders(now time.Time, every time.Duration) {
-	if !w.derived.ordersStale || now.Before(w.derived.ordersRenewedAt.Add(every)) {
+func (w *World) RenewOrders(now time.Time, interval time.Duration) {
+	if !w.derived.ordersStale || now.Before(w.derived.ordersRenewedAt.Add(interval)) {
 		return
 	}
 	w.derived.orders, w.derived.ordersStale, w.derived.ordersRenewedAt = nil, false, now
@@ -86,7 +87,7 @@
 }
 
 // MemberDigests returns a digest for each bucket of live members, including this daemon,
-// and one over all buckets. Renewals do not change a digest. The slice must not be changed.
+// and one over all buckets. Heartbeats do not change a digest. The slice must not be changed.
 func (w *World) MemberDigests() (all uint64, each []uint64) {
 	if w.derived.buckets == nil {
 		w.derived.digest, w.derived.buckets = w.memberDigests()
@@ -159,8 +160,8 @@
 	return w.derived.holders
 }
 
-// ClaimAddress records the owner address at which a member has started. It returns the ID of the
-// member that held the address before and lost it, or "".
+// ClaimAddress records the owner address at which a member has started. It returns the ID
+// of the member that held the address before and lost it, or "".
 func (w *World) ClaimAddress(m wire.Member) (lost string) {
 	holders := w.holders()
 	current, taken := holders[m.Owner]
@@ -175,7 +176,7 @@
 }
 
 // Displaced reports whether another daemon has started later at the member's owner address.
-// The member is gone then, even if copies of its record still arrive.
+// The member no longer runs then, even if copies of its record still arrive.
 func (w *World) Displaced(m wire.Member) bool {
 	current := w.holders()[m.Owner]
 	return current.id != m.ID && current.incarnation > m.Incarnation
--- a/internal/table/rollout.go
+++ b/internal/table/rollout.go
@@ -17,8 +17,8 @@
 	// StopReason is the reason why the new version gets no more calls here, before the store
 	// has recorded that the rollout is reverted; else "".
 	StopReason string
-	// Stored is set if the store holds the record, Told if the store also holds the phase
-	// where operators can read it.
+	// Stored is set if the store holds the record, Published if the store also holds the
+	// phase where operators read it.
 	Stored    bool
 	Published bool
 	// Evidence counts the calls that this daemon sees. It is shared with the call path.
@@ -31,7 +31,7 @@
 	// Due is when it is this daemon's turn to write to the store, or zero if there is
 	// nothing to write.
 	Due time.Time
-	// News is set if a change has not been sent to other daemons yet; From is the
+	// Unsent is set if a change has not been sent to other daemons yet; From is the
 	// connection on which the change arrived, zero if it was made here.
 	From   LinkID
 	Unsent bool
--- a/internal/table/world.go
+++ b/internal/table/world.go
@@ -28,7 +28,7 @@
 	// SilentAfter is how long a connection may be silent in one direction before it is
 	// closed.
 	SilentAfter time.Duration
-	// Renew is the interval at which a member renews its record.
+	// Renew is the interval at which a member renews its record with a heartbeat.
 	Renew time.Duration
 	// Lapse is how long a member's record is valid without a renewal.
 	Lapse time.Duration
@@ -95,7 +95,8 @@
 	// Fresh is the freshness of the configuration held.
 	Fresh Freshness
 
-	// Self is this daemon's own record; Self.Beat.Applied is the version in force here.
+	// Self is this daemon's own record; Self.Heartbeat.Applied is the version in
+	// force here.
 	Self wire.Member
 	// SelfDirty is set if Self has changed and has not been sent yet.
 	SelfDirty bool
@@ -105,11 +106,11 @@
 	Members   map[string]*Member
 	derived   derived
 	NextLapse time.Time
-	// MembersAt is when another member's record last changed, renewals excepted.
+	// MembersAt is when another member's record last changed other than by a heartbeat.
 	MembersAt   time.Time
 	MembersTree Tree
-	// LimitCoordinators are the limit coordinators, by failure domain: the domain's first member,
-	// which counts calls against the rate limits of workspaces.
+	// LimitCoordinators holds the limit coordinator of each failure domain: the domain's
+	// first member, which counts calls against the rate limits of workspaces.
 	LimitCoordinators map[string]wire.Member
 	Links             map[LinkID]*Link
 	// Backoffs holds the backoff of each unreachable address.
@@ -146,7 +147,7 @@
 	NextSeed  time.Time
 	// SeedsFound is set once the log has returned addresses.
 	SeedsFound bool
-	// NextFind is when the log is next asked for addresses, FindEvery the interval, which
+	// NextFind is when the log is next read for addresses, FindEvery the interval, which
 	// doubles up to a bound.
 	NextFind  time.Time
 	FindEvery time.Duration
@@ -170,12 +171,13 @@
 	// From is the connection on which the timestamp arrived; zero if it comes from
 	// reading the store.
 	From LinkID
-	// Known is set while the configuration is known to be within Params.Revoke.
+	// Known is set while the configuration is fresh: Timestamp is no older than
+	// Params.Revoke.
 	Known bool
 }
 
-// Confirmation is another daemon's confirmation of the freshness of the configuration that it held
-// at Base and Position.
+// Confirmation is another daemon's confirmation of the freshness of its configuration, which
+// Base and Position identify.
 type Confirmation struct {
 	Base      uint64
 	Position  uint64
@@ -187,7 +189,7 @@
 	// StartedMs is when that incarnation began. Announcements of it and of earlier ones are
 	// late and are ignored.
 	StartedMs int64
-	// Until is until when late announcements are expected.
+	// Until is when late announcements are no longer expected.
 	Until time.Time
 }
 
@@ -195,14 +197,14 @@
 type Tree struct {
 	// Parent is the ID of the member that sends the configuration to this daemon, or "".
 	Parent string
-	// Orphan is since when this daemon has had no parent, or zero.
+	// Orphan is when this daemon's present search for a parent began, or zero.
 	Orphan time.Time
 	// Root is set if this daemon reads the log.
 	Root bool
 	// Rank is this daemon's index in the order of its failure domain.
 	Rank int
-	// Unwanted holds since when each dialed connection that is not part of the tree has
-	// been unneeded.
+	// Unwanted holds when each dialed connection that is not part of the tree stopped
+	// being needed.
 	Unwanted map[LinkID]time.Time
 }
 
@@ -259,8 +261,8 @@
 	Scan     uint64
 	// ReadAfter is the earliest time of the next read.
 	ReadAfter time.Time
-	// OrphanReadAfter and RestEvery are the end and the length of the pause between reads of a
-	// daemon that reads the log only because it has no parent.
+	// OrphanReadAfter and OrphanReadPause are the end and the length of the pause between
+	// the reads of a daemon that reads the log only because it has no parent.
 	OrphanReadAfter time.Time
 	OrphanReadPause time.Duration
 	// Listing is the state of deciding whether to publish this daemon's addresses on the
@@ -277,13 +279,13 @@
 const (
 	// ListingUnknown: it is not known yet whether the log has this daemon's addresses.
 	ListingUnknown Listing = iota
-	// ListingRecheckDue: the first look did not find them; a second look is scheduled.
+	// ListingRecheckDue: the first read did not find them; a second read is scheduled.
 	ListingRecheckDue
-	// ListingRechecking: the second look is in progress.
+	// ListingRechecking: the second read is in progress.
 	ListingRechecking
 	// Listed: the log has the addresses, or they are being published.
 	Listed
-	// Unlisted: they are not published, since the log has enough other daemons'.
+	// Unlisted: they are not published, since the log lists enough other daemons.
 	Unlisted
 )
 
@@ -305,8 +307,8 @@
 // Outgoing batches membership changes until the window ends. The values are the connections
 // on which the changes arrived.
 type Outgoing struct {
-	// Records are the members whose whole records are sent, Beats those whose heartbeats
-	// are.
+	// Records are the members whose whole records are sent, Heartbeats the members of
+	// which only the heartbeats are sent.
 	Records    map[string]LinkID
 	Heartbeats map[string]LinkID
 	// Due is when the window ends, or zero if the batch is empty.
--- a/internal/view/routes.go
+++ b/internal/view/routes.go
@@ -82,7 +82,7 @@
 	invalid error
 }
 
-// NewRoutes returns tables that hold the given routes.
+// NewRoutes returns the given routes, indexed by name and by host and path.
 func NewRoutes(list ...*Route) *Routes {
 	t := emptyRoutes(len(list))
 	for _, r := range list {
@@ -91,7 +91,7 @@
 	return t
 }
 
-// emptyRoutes returns tables with capacity for n routes.
+// emptyRoutes returns Routes without any route, with capacity for n of them.
 func emptyRoutes(n int) *Routes {
 	return &Routes{byName: make(map[string]*Route, n), index: make(map[routeKey]*Route, n), hosts: map[string]bool{}}
 }
@@ -121,12 +121,12 @@
 	next := emptyRoutes(len(c.Routes))
 	next.state = state
 	for name, r := range c.Routes {
-		old := reusable[name]
-		if old == nil || !old.builtFrom(r, c) {
-			old = newRoute(r, c)
+		route := reusable[name]
+		if route == nil || !route.builtFrom(r, c) {
+			route = newRoute(r, c)
 		}
-		next.checkReferences(old, c)
-		next.add(old)
+		next.checkReferences(route, c)
+		next.add(route)
 	}
 	next.SetWorkspaces(c.Workspaces)
 	return next
--- a/internal/view/split.go
+++ b/internal/view/split.go
@@ -75,16 +75,16 @@
 	if s.evidence == nil {
 		return
 	}
-	seen := rollout.Call{
+	call := rollout.Call{
 		Route: r.Route, Target: r.Upstream.Version == s.target, Moved: !s.movingSince.IsZero(), Failed: r.Failed, Took: r.Took,
 	}
-	if seen.Target && slices.Contains(s.canaries, r.Upstream.ID) {
-		seen.Upstream = r.Upstream.ID
+	if call.Target && slices.Contains(s.canaries, r.Upstream.ID) {
+		call.Upstream = r.Upstream.ID
 	}
 	if !s.plan.WarmedUp(now.Sub(s.since)) {
-		seen.Took = 0
+		call.Took = 0
 	}
-	s.evidence.Note(seen)
+	s.evidence.Note(call)
 }
 
 // splitServices divides the upstreams of services that have a rollout or a version on
@@ -118,7 +118,7 @@
 }
 
 // probationFraction is the fraction of a plan's duration that the probation of a version
-// covers: only the first step, in which the version gets a small share of the calls.
+// covers: only the plan's first step, in which the version gets a small share of the calls.
 const probationFraction = 0.4
 
 // probation returns a rollout for a version that has just appeared without an order. It lets
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -20,7 +20,8 @@
 	Service string
 	Version string
 	Slots   int
-	Since   time.Time
+	// Since is when the upstream announced itself, by the clock of its daemon.
+	Since time.Time
 	// Daemon is the ID of the daemon that owns the upstream, Owner that daemon's address.
 	Daemon      string
 	Incarnation uint64
@@ -39,11 +40,11 @@
 	Split *Split
 }
 
-// LimitCoordinator is the limit coordinator of a failure domain: the daemon that counts the domain's
-// calls against the rate limits of workspaces.
+// LimitCoordinator is the limit coordinator of a failure domain: the daemon that counts the
+// domain's calls against the rate limits of workspaces.
 type LimitCoordinator struct {
 	Daemon string
-	// Owner is its address.
+	// Owner is the daemon's owner address.
 	Owner string
 	// Local is set if this daemon is the coordinator.
 	Local bool
@@ -63,7 +64,7 @@
 	// Routes are shared between consecutive views of the same configuration.
 	Routes *Routes
 	Limits config.Limits
-	// LimitCoordinators are the limit coordinators, by failure domain.
+	// LimitCoordinators holds the limit coordinator of each failure domain.
 	LimitCoordinators map[string]LimitCoordinator
 	// Domains is the least number of failure domains of the deployment.
 	Domains int
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -64,8 +64,8 @@
 	Applied uint64 `json:"v"`
 }
 
-// MemberHeartbeat is the heartbeat of a named member, as it is forwarded along the distribution
-// tree.
+// MemberHeartbeat is the heartbeat of a named member, as it is forwarded along the
+// distribution tree.
 type MemberHeartbeat struct {
 	ID          string `json:"i"`
 	Incarnation uint64 `json:"c"`
@@ -88,7 +88,7 @@
 	// Rollouts is the hash of the sender's rollouts. "": the sender does not accept
 	// Rollouts messages.
 	Rollouts string `json:"rollouts,omitempty"`
-	// TakesConfirmations is set if the sender accepts Vouch messages.
+	// TakesConfirmations is set if the sender accepts FreshnessConfirmation messages.
 	TakesConfirmations bool `json:"vouches,omitempty"`
 	Ping               Ping `json:"ping"`
 }
@@ -97,8 +97,9 @@
 // members that the sender holds.
 type Ping struct {
 	Seq uint64 `json:"seq"`
-	// Echo is the highest Seq received from the other end. If it stops increasing,
-	// the connection has failed in one direction.
+	// Echo is the highest Seq that the sender has received on the connection, which
+	// acknowledges the receiver's pings. If it stops increasing, the connection has
+	// failed in one direction.
 	Echo     uint64 `json:"echo"`
 	Version  uint64 `json:"v"`
 	Base     uint64 `json:"b,omitempty"`
@@ -119,18 +120,18 @@
 type MembersPull struct {
 	// BucketDigests holds the sender's digest of each bucket.
 	BucketDigests []uint64 `json:"buckets"`
-	// DigestsOnly requests a MembersBrief instead of whole records.
+	// DigestsOnly requests a MembersDigests message instead of whole records.
 	DigestsOnly bool `json:"brief,omitempty"`
 }
 
 // MembersDigests lists the digests of the members in the buckets that differ. The receiver
-// requests the records that it lacks with MembersWant.
+// requests the records that it lacks with MembersRequest.
 type MembersDigests struct {
 	// Digests is a sequence of little-endian 8-byte digests in ascending order.
 	Digests []byte `json:"digests"`
 }
 
-// MembersRequest requests the records of some of the digests in a MembersBrief.
+// MembersRequest requests the records of some of the digests in a MembersDigests message.
 type MembersRequest struct {
 	Digests []byte `json:"digests"`
 }
@@ -204,15 +205,15 @@
 	Rows         []rollout.Row `json:"rows"`
 }
 
-// FreshnessConfirmation confirms the freshness of a configuration: it says how long ago the sender's
-// configuration was known to be the newest.
+// FreshnessConfirmation confirms the freshness of the sender's configuration: it states how
+// long ago that configuration was last known to be the newest.
 type FreshnessConfirmation struct {
 	Base     uint64 `json:"b,omitempty"`
 	Position uint64 `json:"p"`
 	// Echo is the highest Ping.Seq that the sender had received when it computed
 	// AgeUs. With it the receiver dates the confirmation by its own clock.
 	Echo uint64 `json:"echo"`
-	// AgeUs is the age in microseconds.
+	// AgeUs is how long ago that was, in microseconds.
 	AgeUs int64 `json:"age"`
 }
 
