--- a/internal/system/config.go
+++ b/internal/system/config.go
@@ -145,8 +145,8 @@
 	adopt(w, now, next, out)
 }
 
-// adopt replaces the whole state, unless the new one is no later, and reports whether it
-// did.
+// adopt replaces the whole state if next is later than the state held, and reports whether
+// it did.
 func adopt(w *table.World, now time.Time, next *config.State, out *Outbox) bool {
 	s := w.Config.State
 	older := next.Base < s.Base || (next.Base == s.Base && next.Position <= s.Position)
@@ -164,7 +164,8 @@
 }
 
 // install makes next the state held. The caller has checked that next follows the present
-// state. records are those that led to it, or nil after a snapshot.
+// state. records are the records that lead from the present state to next, or nil if next
+// was received as a whole.
 func install(w *table.World, now time.Time, next *config.State, records [][]byte, out *Outbox) {
 	old := w.Config.State
 	if next.Version < old.Version {
@@ -214,10 +215,10 @@
 	return event.Event{Kind: kind, Version: o.Version, Request: o.ID, Detail: o.Reason}
 }
 
-// runPush sends new records down the tree: immediately if none were sent within the last
-// window, otherwise when the window since the last push ends. Children receive the
-// records; other neighbours only receive a ping, from which they see that there is
-// something to pull.
+// runPush sends new records, or the delta to a new document, down the tree: immediately if
+// nothing was sent within the last window, otherwise when the window since the last push
+// ends. Other neighbours than children, and children for which the records or deltas are no
+// longer kept, only receive a ping, which shows them that there is something to pull.
 func runPush(w *table.World, now time.Time, out *Outbox) {
 	c := &w.Config
 	if !c.PushDirty || now.Before(c.NextPush) {
@@ -270,7 +271,9 @@
 
 // caughtUp reports whether this daemon holds a configuration and no reachable peer is
 // known to hold a later one. Without a configuration there is nothing to serve: a
-// partitioned daemon cannot tell an empty log from an unreachable one.
+// partitioned daemon cannot tell an empty log from an unreachable one. A root must also
+// have read the log to its end, or fail to read it after the grace time. Any other daemon
+// must have received the hello of a peer that it dialed, or have waited for the grace time.
 func caughtUp(w *table.World, now time.Time) bool {
 	if w.Config.State.Version == 0 {
 		return false
--- a/internal/system/discovery.go
+++ b/internal/system/discovery.go
@@ -79,8 +79,8 @@
 }
 
 // findSeeds reads addresses from the log: at every attempt until some were found, and
-// then, on a root, at growing intervals, since others start later. Each daemon thus reads
-// only a few times, however long a start of the whole fleet takes.
+// then, on a root, at growing intervals, since other daemons may start later. Each daemon
+// thus reads only a few times, however long a start of the whole fleet takes.
 func findSeeds(w *table.World, now time.Time, out *Outbox) {
 	if now.Before(w.NextFind) {
 		return
--- a/internal/system/document.go
+++ b/internal/system/document.go
@@ -34,9 +34,9 @@
 	// force. The store may fail to wake a waiting reader: a missed change is then found
 	// within this time, and the remainder is left for distributing it over narrow links.
 	firstRootWaitFraction = 0.45
-	// otherRootWaitFraction is the same for the other roots, which receive changes from
-	// the first one. If they lose the first root, a read that is already waiting must end
-	// before the time allowed for a change.
+	// otherRootWaitFraction is the corresponding fraction for the other roots, which
+	// receive changes from the first one. If they lose the first root, a read that is
+	// already waiting must end within the time allowed for a change.
 	otherRootWaitFraction = 0.8
 	// maxDocumentWait bounds the wait of one read at the store, which has a timeout of its
 	// own.
@@ -79,8 +79,9 @@
 
 // applyDocument installs a document that was read if it is later than the one held. It
 // returns false if a newer document is known that could not be used: such a document may
-// have revoked keys, so the configuration held must not count as the newest. The store
-// reports a bad document only once, and afterwards answers that there is nothing newer.
+// have revoked keys, so the configuration held must not count as the newest. Because the
+// store returns a bad document only once, and afterwards answers that there is nothing
+// newer, AlarmDocument records that such a document is known.
 func applyDocument(w *table.World, now time.Time, d config.Document, out *Outbox) bool {
 	current := w.Config.State
 	switch {
@@ -154,13 +155,13 @@
 // delta returns the difference between a version and the one held, if all deltas since
 // that version are still kept.
 func delta(w *table.World, version uint64) (wire.Delta, bool) {
-	past := w.Config.Deltas
-	i := slices.IndexFunc(past, func(s table.Step) bool { return s.From == version })
+	deltas := w.Config.Deltas
+	i := slices.IndexFunc(deltas, func(s table.Step) bool { return s.From == version })
 	if i < 0 {
 		return wire.Delta{}, false
 	}
-	d := past[i].Delta
-	for _, s := range past[i+1:] {
+	d := deltas[i].Delta
+	for _, s := range deltas[i+1:] {
 		d = d.Compose(s.Delta)
 	}
 	return wire.Delta{From: version, Version: w.Config.State.Version, Hash: w.Config.State.Hash, Delta: d}, true
--- a/internal/system/freshness.go
+++ b/internal/system/freshness.go
@@ -13,43 +13,44 @@
 // A revoked key must not admit calls after a time bound, also at daemons that are
 // partitioned from the store. Every daemon must therefore know the freshness of its
 // configuration: the last time at which it was known to be the newest. A daemon that
-// reads the store learns this with each answer, as of the time of the request, and sends
-// it on along all connections. The latest timestamp counts, whichever path it came by.
+// reads the store learns this time with each answer: it is the time of the request. The
+// daemon forwards it as a timestamp along all connections. A daemon uses the latest
+// timestamp that it has received, on whichever connection.
 
 const (
-	// minTimestampAdvance is by how much the timestamp must have advanced since the last
-	// one sent on a connection for it to be sent again.
+	// minTimestampAdvance is the least difference from the timestamp last sent on a
+	// connection at which a later timestamp is sent there.
 	minTimestampAdvance = 100 * time.Millisecond
 	// readsPerRevocationBound is the number of reads of the store within the revocation
-	// bound. The timestamp that all other daemons receive is at most twice the time
-	// between two reads old.
+	// bound. The timestamp that the other daemons receive is thus at most two read
+	// intervals old.
 	readsPerRevocationBound = 10
 )
 
 // confirmFromStore records that the configuration held was the newest when the read of
-// the store began.
-func confirmFromStore(w *table.World, asked time.Duration) {
-	if asked > 0 {
-		advanceTimestamp(w, freshness.Timestamp(asked), 0)
+// the store began. startedAt is the boot time then, or zero if it was not recorded.
+func confirmFromStore(w *table.World, startedAt time.Duration) {
+	if startedAt > 0 {
+		advanceTimestamp(w, freshness.Timestamp(startedAt), 0)
 	}
 }
 
-func advanceTimestamp(w *table.World, s freshness.Timestamp, from table.LinkID) {
-	if s > w.Fresh.Timestamp {
-		w.Fresh.Timestamp, w.Fresh.From = s, from
+func advanceTimestamp(w *table.World, t freshness.Timestamp, from table.LinkID) {
+	if t > w.Fresh.Timestamp {
+		w.Fresh.Timestamp, w.Fresh.From = t, from
 	}
 }
 
 // receiveConfirmation keeps a neighbour's confirmation until this daemon holds the
 // configuration it refers to.
-func receiveConfirmation(w *table.World, l *table.Link, v wire.FreshnessConfirmation) {
-	sent, ok := l.Pings.At(v.Echo)
+func receiveConfirmation(w *table.World, l *table.Link, c wire.FreshnessConfirmation) {
+	sent, ok := l.Pings.At(c.Echo)
 	if !ok {
 		return
 	}
 	l.Confirmation = table.Confirmation{
-		Base: v.Base, Position: v.Position,
-		Timestamp: freshness.FromPeer(sent, time.Duration(v.AgeUs)*time.Microsecond),
+		Base: c.Base, Position: c.Position,
+		Timestamp: freshness.FromPeer(sent, time.Duration(c.AgeUs)*time.Microsecond),
 	}
 	applyConfirmation(w, l)
 }
--- a/internal/system/gossip.go
+++ b/internal/system/gossip.go
@@ -14,8 +14,8 @@
 	startGossipWindow(w, now)
 }
 
-// queueHeartbeat queues a member's renewal for the current gossip window, unless its whole
-// record is queued already.
+// queueHeartbeat queues a member's heartbeat for the current gossip window, unless the
+// member's whole record is queued already.
 func queueHeartbeat(w *table.World, now time.Time, id string, from table.LinkID) {
 	if _, ok := w.Outgoing.Records[id]; ok {
 		return
@@ -71,14 +71,15 @@
 	return m
 }
 
+// heartbeatOf returns the member's last heartbeat as it is sent to other daemons.
 func heartbeatOf(m wire.Member) wire.MemberHeartbeat {
 	return wire.MemberHeartbeat{ID: m.ID, Incarnation: m.Incarnation, Heartbeat: m.Heartbeat}
 }
 
 // forwardsTo reports whether a change received on one connection is sent on another. A
-// change from another failure domain is forwarded only within this domain: its own roots
-// send it to the other domains, and in a full mesh of roots each root would otherwise
-// receive every change from all others.
+// change from another failure domain is forwarded only within this daemon's domain: the
+// roots of the other domain send the change to the remaining domains themselves. The roots
+// form a full mesh, in which each root would otherwise receive every change from all others.
 func forwardsTo(w *table.World, from table.LinkID, to *table.Link) bool {
 	if from == to.ID {
 		return false
--- a/internal/system/link.go
+++ b/internal/system/link.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// receivePing records what the peer holds and requests what is missing here.
+// receivePing records what the peer holds and requests what this daemon lacks.
 func receivePing(w *table.World, now time.Time, l *table.Link, p wire.Ping, out *Outbox) {
 	l.SeenSeq = max(l.SeenSeq, p.Seq)
 	if p.Echo > l.Echoed {
--- a/internal/system/log.go
+++ b/internal/system/log.go
@@ -27,12 +27,13 @@
 	// before it publishes them: the time of one read.
 	listedTimeout = time.Second
 	// recheckSpread is the time over which daemons that start together spread their second
-	// look at the log. By then the first of them have published their addresses.
+	// read of the addresses on the log. When the later ones read, the first of them have
+	// published their addresses.
 	recheckSpread = 400 * time.Millisecond
 	// listedThreshold is the number of other daemons listed on the log from which on a
 	// daemon need not publish its addresses, unless it is a root. A starting daemon dials
 	// only a few of them, and if all n daemons were listed, each start of the fleet would
-	// read n*n addresses.
+	// read n² addresses.
 	listedThreshold = 32
 )
 
@@ -115,8 +116,9 @@
 }
 
 // scanForCheckpoint searches the log for a checkpoint from which this daemon can
-// continue. Records before the checkpoint are not applied.
-func scanForCheckpoint(w *table.World, now time.Time, r LogRead, use func(*table.World, time.Time, store.Batch, store.Entry, *Outbox) bool, out *Outbox) {
+// continue, that is, one that tryAdopt adopts. Records before the checkpoint are not
+// applied.
+func scanForCheckpoint(w *table.World, now time.Time, r LogRead, tryAdopt func(*table.World, time.Time, store.Batch, store.Entry, *Outbox) bool, out *Outbox) {
 	if !w.Log.Scanning {
 		w.Log.Scanning = true
 		w.Log.Scan = 0
@@ -126,7 +128,7 @@
 	}
 	for _, e := range r.Batch.Entries {
 		w.Log.Scan = e.Offset + 1
-		if use(w, now, r.Batch, e, out) {
+		if tryAdopt(w, now, r.Batch, e, out) {
 			w.Log.Scanning = false
 			return
 		}
@@ -251,8 +253,9 @@
 	return now.Add(time.Duration(float64(w.Params.Checkpoint) * publishIntervalFraction))
 }
 
-// receiveSelfListed avoids an append for a daemon that has restarted with the same
-// addresses, and for one whose addresses are not needed on the log.
+// receiveSelfListed handles the result of reading whether the log lists this daemon. It
+// avoids an append for a daemon that has restarted with the same addresses, and for one
+// whose addresses are not needed on the log.
 func receiveSelfListed(w *table.World, now time.Time, s SelfListed) {
 	log := &w.Log
 	switch {
--- a/internal/system/member.go
+++ b/internal/system/member.go
@@ -10,8 +10,8 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// lapsedRetention is how long a lapsed record is kept. It prevents old copies from bringing
-// the member back, keeps the member's floor, and lets failure domains find each other
+// lapsedRetention is how long a lapsed record is kept. The record prevents old copies from
+// restoring the member, keeps the member's floor, and lets failure domains find each other
 // after a partition.
 const lapsedRetention = 24 * time.Hour
 
@@ -30,8 +30,8 @@
 	for _, rec := range m.Records {
 		mergeMember(w, now, from, rec, out)
 	}
-	for _, beat := range m.Heartbeats {
-		mergeHeartbeat(w, now, from, beat)
+	for _, heartbeat := range m.Heartbeats {
+		mergeHeartbeat(w, now, from, heartbeat)
 	}
 }
 
@@ -50,11 +50,11 @@
 		out.event(event.Event{Kind: event.MemberUp, Peer: rec.ID})
 	case rec.Newer(row.Member):
 		restarted := rec.Incarnation != row.Incarnation
-		beat := row.Heartbeat
+		heartbeat := row.Heartbeat
 		row.Member = rec
 		row.Heard = latestTime(row.Heard, heard)
-		if !restarted && beat.Seq > rec.Heartbeat.Seq {
-			row.Heartbeat = beat
+		if !restarted && heartbeat.Seq > rec.Heartbeat.Seq {
+			row.Heartbeat = heartbeat
 		}
 		if restarted {
 			w.ClearBackoff(rec.Peer)
@@ -78,12 +78,12 @@
 }
 
 // lapseDisplaced marks the member that lost its address to another daemon as lapsed; id
-// is "" if there is none. Otherwise, until its record lapses by itself, every call sent
-// to it would reach the new daemon and be refused.
+// is "" if there is none. If the member did not lapse at once, every call sent to it would
+// reach the new daemon and be refused until its record lapses for want of a heartbeat.
 func lapseDisplaced(w *table.World, id string, out *Outbox) {
 	row := w.Members[id]
 	if row == nil || row.Lapsed || !w.Displaced(row.Member) {
-		return // none, or it has moved to another address since
+		return // no member lost its address, or that member has moved to another one since
 	}
 	row.Lapsed = true
 	w.MembersChanged()
@@ -101,19 +101,19 @@
 	}
 }
 
-func mergeHeartbeat(w *table.World, now time.Time, from table.LinkID, b wire.MemberHeartbeat) {
-	row := w.Members[b.ID]
-	if row == nil || row.Incarnation != b.Incarnation || b.Seq <= row.Heartbeat.Seq {
+func mergeHeartbeat(w *table.World, now time.Time, from table.LinkID, h wire.MemberHeartbeat) {
+	row := w.Members[h.ID]
+	if row == nil || row.Incarnation != h.Incarnation || h.Seq <= row.Heartbeat.Seq {
 		return
 	}
-	row.Heartbeat = b.Heartbeat
-	row.Floor = max(row.Floor, b.Applied)
+	row.Heartbeat = h.Heartbeat
+	row.Floor = max(row.Floor, h.Applied)
 	row.Heard = now
 	clearLapse(w, now, row)
-	queueHeartbeat(w, now, b.ID, from)
+	queueHeartbeat(w, now, h.ID, from)
 }
 
-// clearLapse makes a lapsed member live again after a renewal.
+// clearLapse makes a lapsed member live again after a heartbeat, unless it was displaced.
 func clearLapse(w *table.World, now time.Time, row *table.Member) {
 	if row.Lapsed && now.Sub(row.Heard) <= w.Params.Lapse && !w.Displaced(row.Member) {
 		row.Lapsed = false
@@ -121,9 +121,9 @@
 	}
 }
 
-// runMembers renews this daemon's record and marks members that have not renewed theirs
-// as lapsed. A lapse is a local conclusion and is never sent to others as the member's
-// death.
+// runMembers renews this daemon's record with a heartbeat, and marks members that have not
+// renewed theirs as lapsed. A lapse is a local conclusion and is never sent to other
+// daemons: it does not prove that the member has stopped.
 func runMembers(w *table.World, now time.Time, out *Outbox) {
 	if w.SelfDirty || !now.Before(w.NextRenew) {
 		w.NextRenew = now.Add(w.Params.Renew)
@@ -153,8 +153,8 @@
 }
 
 // answerMembersPull sends the live members of each bucket that differs, or only their
-// digests. While many daemons start, their tables differ slightly all the time; sending
-// whole records, most of which the peer already holds, would cost n*n.
+// digests. While many daemons start, their tables differ slightly all the time. Sending
+// whole records, most of which the peer already holds, would cost n² records for n daemons.
 func answerMembersPull(w *table.World, now time.Time, l *table.Link, p wire.MembersPull, out *Outbox) {
 	_, each := w.MemberDigests()
 	if len(p.BucketDigests) != len(each) {
@@ -185,15 +185,15 @@
 	}
 }
 
-// sendMemberDigests sends the digests of the live members that were asked for.
-func sendMemberDigests(w *table.World, now time.Time, l *table.Link, asked func(id string) bool, out *Outbox) {
+// sendMemberDigests sends the digests of the live members that match.
+func sendMemberDigests(w *table.World, now time.Time, l *table.Link, match func(id string) bool, out *Outbox) {
 	if row := w.Members[l.Peer]; row != nil && row.Lapsed {
 		out.send(l.ID, wire.Members{Records: []wire.Member{recordWithAge(row, now)}}) // carries the peer's floor
 	}
 	var digests []byte
 	held := w.MembersByDigest()
 	for _, d := range sortedKeys(held) {
-		if asked(held[d]) {
+		if match(held[d]) {
 			digests = binary.LittleEndian.AppendUint64(digests, d)
 		}
 	}
@@ -217,33 +217,33 @@
 // requestUnknownMembers requests the records whose digests match no record held here.
 func requestUnknownMembers(w *table.World, l *table.Link, m wire.MembersDigests, out *Outbox) {
 	held := w.MembersByDigest()
-	var want []byte
+	var unknown []byte
 	for d := range digestsIn(m.Digests) {
 		if _, ok := held[d]; !ok {
-			want = binary.LittleEndian.AppendUint64(want, d)
+			unknown = binary.LittleEndian.AppendUint64(unknown, d)
 		}
 	}
-	if len(want) > 0 {
-		out.send(l.ID, wire.MembersRequest{Digests: want})
+	if len(unknown) > 0 {
+		out.send(l.ID, wire.MembersRequest{Digests: unknown})
 	}
 }
 
 // answerMembersRequest sends the records that match the requested digests.
 func answerMembersRequest(w *table.World, now time.Time, l *table.Link, m wire.MembersRequest, out *Outbox) {
 	held := w.MembersByDigest()
-	var records wire.Members
+	var found wire.Members
 	for d := range digestsIn(m.Digests) {
 		id, ok := held[d]
 		switch {
 		case !ok: // the record has changed since its digest was sent
 		case id == w.Self.ID:
-			records.Records = append(records.Records, w.Self)
+			found.Records = append(found.Records, w.Self)
 		default:
-			records.Records = append(records.Records, recordWithAge(w.Members[id], now))
+			found.Records = append(found.Records, recordWithAge(w.Members[id], now))
 		}
 	}
-	if len(records.Records) > 0 {
-		out.send(l.ID, records)
+	if len(found.Records) > 0 {
+		out.send(l.ID, found)
 	}
 }
 
--- a/internal/system/rollouts.go
+++ b/internal/system/rollouts.go
@@ -14,12 +14,12 @@
 )
 
 // The roots read the orders for rollouts and distribute them like changes of suspects.
-// What the daemons observe of a rollout is sent up the tree, summed per failure domain,
-// and judged by every root. A daemon that learns that a rollout was stopped sends the new
-// version no more calls from then on. Each later phase must first be agreed on, by a
-// record in the store that is written only if nobody else has written meanwhile. If
-// several roots try, one succeeds, so that no lease or term is needed. A root that was
-// paused finds the record of those that have continued.
+// The daemons count the results of the calls during a rollout. The counts are sent up the
+// tree, summed per failure domain, and judged by every root. A daemon that learns that a
+// rollout was stopped sends the new version no more calls from then on. Each later phase
+// must first be committed: its record is written to the store, which accepts it only if
+// nobody else has written meanwhile. If several roots try, one succeeds, so that no lease
+// or term is needed. A root that was paused finds the record that the others committed.
 
 // OrdersRead carries rollout orders that were read.
 type OrdersRead struct{ Orders []rollout.Order }
@@ -34,7 +34,7 @@
 type RolloutPublished struct{ Record rollout.Record }
 
 // oldVersionHold is how long upstreams of other versions get no calls after a rollout was
-// completed. Within this time they stop and their daemons notice.
+// completed. Within this time these upstreams stop and their daemons notice it.
 const oldVersionHold = 30 * time.Second
 
 // receiveOrders records orders that are later than those known.
@@ -71,8 +71,8 @@
 		age := min(max(0, now.Sub(time.UnixMilli(rec.Began))), 2*rec.Duration)
 		r = installRecord(w, now, rec, now.Add(-age), now, out)
 		r.Stored = true
-		// The outcome of a rollout that ended long ago was published by the daemons
-		// running then.
+		// The outcome of a rollout that ended long ago was published by the daemons that
+		// ran at that time.
 		r.Published = rec.Phase.Final() && age >= 2*rec.Duration
 	}
 }
@@ -103,10 +103,10 @@
 }
 
 // stopRollout stops sending calls to the new version.
-func stopRollout(w *table.World, r *table.Rollout, why string, out *Outbox) {
-	r.StopReason, r.Unsent, r.From = why, true, 0
+func stopRollout(w *table.World, r *table.Rollout, reason string, out *Outbox) {
+	r.StopReason, r.Unsent, r.From = reason, true, 0
 	w.ViewDirty = true
-	out.event(event.Event{Kind: event.RolloutStopped, Service: r.Service, Version: r.ID, Detail: r.Target + ": " + why})
+	out.event(event.Event{Kind: event.RolloutStopped, Service: r.Service, Version: r.ID, Detail: r.Target + ": " + reason})
 }
 
 // rolloutsHash returns the hash of the known rollouts that a hello carries.
@@ -160,7 +160,7 @@
 	}
 }
 
-// runRollouts starts ordered rollouts, judges what was observed, and forwards changes.
+// runRollouts begins ordered rollouts, judges the counts, and forwards changes.
 func runRollouts(w *table.World, now time.Time, out *Outbox) {
 	updateVersions(w, now)
 	beginRollouts(w, now, out)
@@ -221,7 +221,7 @@
 	}
 }
 
-// nextRecord returns the record to agree on next, and whether it differs from the current
+// nextRecord returns the record to commit next, and whether it differs from the current
 // one. target is the number of upstreams of the new version that take calls.
 func nextRecord(w *table.World, now time.Time, r *table.Rollout, target int) (rollout.Record, bool) {
 	plan := w.Plan(r.Duration)
@@ -240,8 +240,8 @@
 }
 
 // takeRolloutTurn reports whether it is this root's turn to write to the store, and if so
-// starts the wait for the result of the write. Roots write one after the other, each
-// waiting longer the later it ranks.
+// starts the wait for the result of the write. So that usually only one root writes, each
+// root waits longer than those ranked before it.
 func takeRolloutTurn(w *table.World, now time.Time, r *table.Rollout) bool {
 	if !w.Log.Up || !mayReadLog(w, now) {
 		return false
--- a/internal/system/suspects.go
+++ b/internal/system/suspects.go
@@ -11,8 +11,8 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// Records of suspects (requests that were running at an upstream when it crashed) spread
-// in two ways. Changes are sent at once, without a gossip window, along all connections,
+// Records of suspects (requests that were running at an upstream when it crashed) are
+// distributed in two ways. Changes are sent at once, without a gossip window, along all connections,
 // and a new connection synchronizes what the peer lacks. Quarantined requests are also
 // written to the store, for daemons that no peer can inform and for those that start
 // after all daemons have stopped.
@@ -35,11 +35,11 @@
 	// before it writes a record that is still missing. It covers several round trips to
 	// the store, so that the first reader's write has been read back by then.
 	storeTurnDelay = 150 * time.Millisecond
-	// storeWriteRetry is the time after which a reader writes a record again that it has
-	// not read back.
+	// storeWriteRetry is the time after which a reader that has not read its record back
+	// writes it again.
 	storeWriteRetry = 2 * time.Second
-	// storeCheckInterval is the interval at which readers compare the store with the
-	// table.
+	// storeCheckInterval is the interval at which readers compare the store's records with
+	// the table of suspects.
 	storeCheckInterval = 100 * time.Millisecond
 )
 
@@ -116,7 +116,7 @@
 }
 
 // readsQuarantine reports whether this daemon reads the quarantine from the store. The
-// daemons that read the configuration do, while the store answers them.
+// daemons that read the configuration from the store do so, while the store answers them.
 func readsQuarantine(w *table.World, now time.Time) bool {
 	return w.MembersTree.Root && w.Log.Up && mayReadLog(w, now)
 }
--- a/internal/system/system.go
+++ b/internal/system/system.go
@@ -113,20 +113,21 @@
 	// Append is a record to append to the configuration stream, or nil.
 	Append []byte
 	// PublishSelf requests that this daemon's addresses are written to the log, FindSeeds
-	// that those of other daemons are read from it.
+	// that the addresses of other daemons are read from the log.
 	PublishSelf bool
 	FindSeeds   bool
 	// ReadQuarantine requests a read of the quarantined requests in the store.
-	// KeepQuarantine are records to write to the store, DropQuarantine are records to
-	// delete from it.
+	// StoreQuarantine are records to write to the store, DeleteQuarantine are the digests
+	// of records to delete from it.
 	ReadQuarantine   bool
 	StoreQuarantine  []suspect.Record
 	DeleteQuarantine []suspect.Digest
 	// Quarantined are the requests that entered quarantine in this tick.
 	Quarantined []suspect.Record
-	// ReadRollouts requests a read of the rollout records in the store. AgreeRollouts are
+	// ReadRollouts requests a read of the rollout records in the store. CommitRollouts are
 	// records to write there, each only if nobody else has written meanwhile.
-	// TellRollouts are records whose phase is to be published in the store for operators.
+	// PublishRollouts are records whose phase is to be published in the store for
+	// operators.
 	ReadRollouts    bool
 	CommitRollouts  []rollout.Record
 	PublishRollouts []rollout.Record
--- a/internal/system/tallies.go
+++ b/internal/system/tallies.go
@@ -11,15 +11,15 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// tallyInterval is the interval at which tallies of rollouts are sent. A bad version must be
-// stopped within seconds, over a tree of three levels.
+// tallyInterval is the interval at which tallies of rollouts are sent. A bad version must
+// be stopped within seconds, although its tallies pass through a tree of three levels.
 const tallyInterval = 700 * time.Millisecond
 
 // judgeRollout stops the rollout of a version that performs worse than the others.
 func judgeRollout(w *table.World, r *table.Rollout, target []string, others int, out *Outbox) {
 	canaries := w.Plan(r.Duration).ChooseCanaries(target, others)
-	if why := rollout.Judge(r.Tally(), len(canaries)); why != "" {
-		stopRollout(w, r, why, out)
+	if reason := rollout.Judge(r.Tally(), len(canaries)); reason != "" {
+		stopRollout(w, r, reason, out)
 	}
 }
 
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("%d answers, %d failed, %d of %d slow; beside them %d, %d, %d of %d", target.N, target.Failed, target.Slow, target.Timed, others.N, others.Failed, others.Slow, others.Timed)
 }
 
-// forwardTallies sends this daemon's observations up the tree, and from the top of each
-// failure domain to the other roots.
+// forwardTallies sends the tallies of this daemon and of its descendants to its parent in
+// the tree. The roots send the tallies of failure domains to the other roots.
 func forwardTallies(w *table.World, out *Outbox) {
 	for _, service := range sortedKeys(w.Rollouts) {
 		r := w.Rollouts[service]
@@ -53,7 +53,7 @@
 	}
 }
 
-// subtreeRows sums the observations of this daemon and of its descendants in the tree.
+// subtreeRows sums the counts of this daemon and of its descendants in the tree.
 func subtreeRows(w *table.World, r *table.Rollout) []rollout.Row {
 	sum := rollout.Tally{}
 	sum.Add(r.Evidence.Rows())
@@ -65,7 +65,8 @@
 	return sum.Rows()
 }
 
-// sendDomainTallies sends the tallies of failure domains to other roots.
+// sendDomainTallies sends the tallies of failure domains to other roots: those of all domains
+// within this daemon's domain, and that of its own domain to the others.
 func sendDomainTallies(w *table.World, r *table.Rollout, out *Outbox) {
 	own := order(w, w.Self.Domain)
 	roots := own[:min(len(own), w.Params.Roots)]
--- a/internal/system/topology.go
+++ b/internal/system/topology.go
@@ -18,7 +18,7 @@
 	// reads the log itself.
 	maxParentCandidates = 6
 	// unwantedGrace is how long a dialed connection that is no longer needed stays open,
-	// so that brief differences between the members' views do not close it.
+	// so that brief differences between the daemons' tables of members do not close it.
 	unwantedGrace = 5 * time.Second
 	// minOrphanReadPause and maxOrphanReadPause bound the pause between the log reads of
 	// a daemon that reads only because it has no parent.
@@ -77,8 +77,8 @@
 	index      int
 }
 
-// sortByRank returns the members in the order described at order. It sorts keys instead
-// of records: records are large, and this runs after every change to one.
+// sortByRank returns the members in the order that function order documents. It sorts keys
+// instead of records: records are large, and this runs after every change to one.
 func sortByRank(domain string, members []wire.Member) []wire.Member {
 	keys := make([]rankKey, len(members))
 	for i, m := range members {
@@ -105,7 +105,7 @@
 	wanted := map[string]bool{}
 	wasRoot, oldParent := w.MembersTree.Root, w.MembersTree.Parent
 	if rank < 0 {
-		rank = len(own) // leaving: stay connected to the tree as a leaf
+		rank = len(own) // this daemon is leaving: it stays connected to the tree as a leaf
 	}
 	w.MembersTree.Rank = rank
 	parent, settled := findParent(w, now, own, rank, wanted, out)
--- a/internal/system/upstream.go
+++ b/internal/system/upstream.go
@@ -78,25 +78,25 @@
 // removeUpstream removes an upstream that is about to exit. A late report does not remove
 // a later incarnation of the same name.
 func removeUpstream(w *table.World, now time.Time, r Removed, out *Outbox) {
-	born := r.StartedMs
+	startedMs := r.StartedMs
 	for _, id := range sortedKeys(w.Locals) {
 		row := w.Locals[id]
 		if row.Name != r.Name || r.StartedMs != 0 && row.StartedMs > r.StartedMs {
 			continue
 		}
-		born = max(born, row.StartedMs)
+		startedMs = max(startedMs, row.StartedMs)
 		removeLocal(w, row, out)
 	}
-	if _, known := w.Departed[r.Name]; born == 0 && !known {
-		born = math.MaxInt64 // incarnation unknown: ignore announcements of any
+	if _, known := w.Departed[r.Name]; startedMs == 0 && !known {
+		startedMs = math.MaxInt64 // incarnation unknown: ignore announcements of any
 	}
-	recordDeparture(w, now, r.Name, born)
+	recordDeparture(w, now, r.Name, startedMs)
 }
 
 // recordDeparture records that an incarnation has exited, so that its late announcements
 // do not bring it back.
-func recordDeparture(w *table.World, now time.Time, name string, born int64) {
-	w.Departed[name] = table.Departure{StartedMs: max(born, w.Departed[name].StartedMs), Until: now.Add(departedRetention)}
+func recordDeparture(w *table.World, now time.Time, name string, startedMs int64) {
+	w.Departed[name] = table.Departure{StartedMs: max(startedMs, w.Departed[name].StartedMs), Until: now.Add(departedRetention)}
 }
 
 // removeLocal deletes the row of an upstream and publishes the change.
--- a/internal/system/versions.go
+++ b/internal/system/versions.go
@@ -8,8 +8,8 @@
 )
 
 // updateVersions records the versions of each service. A version that appears beside
-// others is on probation for as long as an order for it may take to arrive here. If none
-// arrives, it is then treated like the others.
+// others is on probation for as long as a rollout order for it may take to arrive here. If
+// no order arrives, the version is then treated like the others.
 func updateVersions(w *table.World, now time.Time) {
 	if !w.ViewDirty && now.Before(w.VersionsDue) {
 		return
