--- a/internal/system/discovery_test.go
+++ b/internal/system/discovery_test.go
@@ -24,12 +24,13 @@
 }
 
 // TestOnlyRootsLookForOtherPartitions guards against needless calls to the store: of the
-// daemons in a tree, only the roots may look there for daemons outside of it. When all 74
-// daemons of a deployment did, that was two thirds of the store's calls on a quiet day.
+// daemons in a tree, only the roots may look in the store for daemons outside the tree. When
+// all 74 daemons of a deployment did so, these reads were two thirds of the store's calls on
+// a quiet day.
 func TestOnlyRootsLookForOtherPartitions(t *testing.T) {
 	for _, c := range []struct {
 		rank int
-		asks bool
+		want bool
 	}{{0, true}, {1, true}, {2, false}, {40, false}} {
 		is := is.New(t)
 		w := documentWorld()
@@ -39,14 +40,14 @@
 		w.MembersTree.Rank = c.rank
 		var out Outbox
 		findSeeds(w, time.Unix(1010, 0), &out)
-		is.Equal(out.FindSeeds, c.asks)
+		is.Equal(out.FindSeeds, c.want)
 	}
 }
 
 // TestRootWithoutParentReadsLikeFirstRoot takes the first root of a failure domain away.
 // The next root then gets no changes from a parent, and the store does not wake waiting
-// reads while it drops its history: its reads must become as short as those of the first
-// root.
+// reads while it drops its history. The reads of that root must therefore become as short as
+// those of the first root.
 func TestRootWithoutParentReadsLikeFirstRoot(t *testing.T) {
 	const inForce = 2500 * time.Millisecond // the shortest bound on a change in the larger deployments
 	is := is.New(t)
@@ -101,9 +102,9 @@
 	}
 }
 
-// TestFewDaemonsPublishTheirAddresses covers the second look at the log. The daemons that
-// start first publish their addresses. The others do so only if they read the configuration
-// from the log, so that a starting daemon finds those.
+// TestFewDaemonsPublishTheirAddresses covers the second read of the addresses on the log.
+// The daemons that start first publish their addresses. The others do so only if they read
+// the configuration from the log, so that a starting daemon finds the roots.
 func TestFewDaemonsPublishTheirAddresses(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -125,8 +126,8 @@
 			now := w.Started
 			Tick(w, now, []Input{SelfListed{}})
 			now = now.Add(recheckSpread)
-			looked := Tick(w, now, nil)
-			is.True(looked.FindSeeds && !looked.PublishSelf)
+			recheck := Tick(w, now, nil)
+			is.True(recheck.FindSeeds && !recheck.PublishSelf)
 			published := Tick(w, now, c.second).PublishSelf
 			if c.second == nil {
 				published = published || Tick(w, now.Add(listedTimeout), nil).PublishSelf
@@ -147,9 +148,10 @@
 	}
 }
 
-// TestPartitionsAfterColdStartMerge starts two pairs of daemons that know only each
-// other, with probes an hour away. Addresses from the log must join the two: until then,
-// calls to a service whose only upstream is in the other pair are refused.
+// TestPartitionsAfterColdStartMerge starts two pairs of daemons, of which each daemon knows
+// only the other one of its pair, with probes an hour away. Addresses from the log must join
+// the two pairs: until then, calls to a service whose only upstream is in the other pair are
+// refused.
 func TestPartitionsAfterColdStartMerge(t *testing.T) {
 	n := newTestNetFor(t, 2, 2)
 	for i, node := range n.nodes {
--- a/internal/system/document_test.go
+++ b/internal/system/document_test.go
@@ -141,7 +141,7 @@
 	is.True(w.Members["old"].Lapsed)
 	is.True(!w.Members["new"].Lapsed)
 	is.True(!w.Members["other"].Lapsed)
-	old.Heartbeat.Seq = 9 // a delayed heartbeat does not revive it
+	old.Heartbeat.Seq = 9 // a delayed record does not restore the member
 	old.Seq = 2
 	mergeMembers(w, at, 0, wire.Members{Records: []wire.Member{old}}, &out)
 	is.True(w.Members["old"].Lapsed)
@@ -170,7 +170,7 @@
 }
 
 // TestEachDocumentReadIsLogged guards against documents that are read without a trace: each
-// read must give an event with the document's version and what became of it.
+// read must emit an event with the document's version and whether it was applied.
 func TestEachDocumentReadIsLogged(t *testing.T) {
 	is := is.New(t)
 	w := documentWorld()
--- a/internal/system/documents_test.go
+++ b/internal/system/documents_test.go
@@ -33,8 +33,8 @@
 	incarnation int
 	// delivered is how many documents were accepted when the daemon last got one.
 	delivered int
-	// started is when the running read began, or zero; startedBoot is the boot time
-	// then.
+	// started is when the running read began, or zero; startedBoot is the boot time at
+	// that moment.
 	started     time.Time
 	startedBoot time.Duration
 	// missedWakeup is set if a document was accepted without waking the running read.
@@ -106,8 +106,8 @@
 	return d
 }
 
-// accept adds a version to the store. A flawed one has a route with two shares: the one
-// with all the weight, and one of weight 0 for a service that is not listed.
+// accept adds a version to the store. A flawed version has a route with two shares: one that
+// has all the weight, and one of weight 0 for a service that is not listed.
 func (d *documentNet) accept(flawed bool) {
 	version := uint64(10 * (len(d.documents.accepted) + 1))
 	d.documents.accepted = append(d.documents.accepted, acceptedDocument{at: d.now, doc: func() config.Document {
--- a/internal/system/freshness_test.go
+++ b/internal/system/freshness_test.go
@@ -155,12 +155,12 @@
 	at := time.Unix(1001, 0)
 	bad := documentOf(9, 3)
 	delete(bad.Content.Policies, "p")
-	asked := time.Second
+	startedAt := time.Second
 	ageAfter := func(r DocumentRead) time.Duration {
-		asked += time.Second
-		r.StartedAt = asked
+		startedAt += time.Second
+		r.StartedAt = startedAt
 		Tick(w, at, []Input{r})
-		return asked - time.Duration(w.Fresh.Timestamp)
+		return startedAt - time.Duration(w.Fresh.Timestamp)
 	}
 	is.Equal(ageAfter(DocumentRead{Document: documentOf(5, 3)}), time.Duration(0))
 	is.Equal(ageAfter(DocumentRead{}), time.Duration(0)) // nothing new
--- a/internal/system/incarnations_test.go
+++ b/internal/system/incarnations_test.go
@@ -11,12 +11,12 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// announcement returns an announcement of the incarnation that began at born.
-func announcement(born int64, sequence uint64, draining bool) Announced {
-	id := "vm/up@" + time.UnixMilli(born).UTC().Format("150405.000")
+// announcement returns an announcement of the incarnation that started at startedMs.
+func announcement(startedMs int64, sequence uint64, draining bool) Announced {
+	id := "vm/up@" + time.UnixMilli(startedMs).UTC().Format("150405.000")
 	return Announced{Local: table.Local{
 		Upstream: wire.Upstream{ID: id, Service: "s", Slots: 4, Draining: draining},
-		Name:     "vm/up", Incarnation: "up", Process: "up", Addr: "a:1", Sequence: sequence, StartedMs: born,
+		Name:     "vm/up", Incarnation: "up", Process: "up", Addr: "a:1", Sequence: sequence, StartedMs: startedMs,
 	}}
 }
 
@@ -62,14 +62,14 @@
 		at := time.Unix(1001, 0)
 		removed, lastSequence := int64(0), map[int64]uint64{}
 		for range rapid.IntRange(1, 30).Draw(t, "words") {
-			born := 1000 * rapid.Int64Range(1, 4).Draw(t, "born")
+			startedMs := 1000 * rapid.Int64Range(1, 4).Draw(t, "born")
 			if rapid.IntRange(0, 4).Draw(t, "end") == 0 {
-				Tick(w, at, []Input{Removed{Name: "vm/up", StartedMs: born}})
-				removed = max(removed, born)
+				Tick(w, at, []Input{Removed{Name: "vm/up", StartedMs: startedMs}})
+				removed = max(removed, startedMs)
 			} else {
 				n := rapid.Uint64Range(1, 9).Draw(t, "sequence")
-				Tick(w, at, []Input{announcement(born, n, false)})
-				lastSequence[born] = max(lastSequence[born], n)
+				Tick(w, at, []Input{announcement(startedMs, n, false)})
+				lastSequence[startedMs] = max(lastSequence[startedMs], n)
 			}
 			newest := int64(0)
 			for b := range lastSequence {
--- a/internal/system/rollouts_test.go
+++ b/internal/system/rollouts_test.go
@@ -21,7 +21,7 @@
 // rolloutService is the service that the tests roll out.
 const rolloutService = "s"
 
-// serveRollouts carries out what a tick asked of the store's rollout records.
+// serveRollouts carries out the requests of a tick to the store's rollout records.
 func (n *testNet) serveRollouts(node *testNode, out Outbox) {
 	ctx := context.Background()
 	read := func() (RolloutsRead, uint64) {
@@ -49,7 +49,7 @@
 			data, _ := json.Marshal(rec)
 			if r.Err = n.log.AppendKeyedAt(ctx, store.RolloutTopic, rec.Service, data, end); r.Err == nil {
 				r.Records = []rollout.Record{rec}
-				n.agreed = append(n.agreed, rec)
+				n.committed = append(n.committed, rec)
 			}
 		}
 		node.inputs = append(node.inputs, r)
@@ -82,9 +82,9 @@
 	failingFrom time.Time
 	order       rollout.Order
 	orderedAt   time.Time
-	// calls counts the calls to the service since the order, exposed those of them to
-	// the new version, and staleCalls those to the old version after the rollout
-	// completed.
+	// calls counts the calls to the service since the order and exposed those of them to
+	// the new version, both until the rollout's duration has passed. staleCalls counts
+	// the calls to the old version after the rollout completed.
 	calls, exposed, staleCalls int
 	// routes is the number of routes to the service.
 	routes int
@@ -166,7 +166,7 @@
 	v := r.views[node]
 	s := v.Services[rolloutService]
 	if s == nil || !v.Ready {
-		return // it has just started
+		return // the daemon has just started
 	}
 	for range callsPerTick {
 		list := s.Upstreams
@@ -233,7 +233,7 @@
 	is.Equal(r.finalPhase(t), rollout.Completed)
 	is.Equal(r.staleCalls, 0)
 	is.Equal(r.n.published[len(r.n.published)-1].Phase, rollout.Completed)
-	is.True(len(r.n.agreed) == 3) // each phase is agreed once
+	is.True(len(r.n.committed) == 3) // each phase is committed once
 }
 
 // TestBadVersionIsExposedNoMoreThanAllowed rolls out versions that fail from the start, or
@@ -255,7 +255,8 @@
 }
 
 // TestNewVersionWithoutAnOrderIsServed announces upstreams of another version without a
-// rollout order: they must get calls once an order would have arrived.
+// rollout order, as when an operator simply replaces upstreams: the new ones must get calls
+// once an order would have arrived.
 func TestNewVersionWithoutAnOrderIsServed(t *testing.T) {
 	is := is.New(t)
 	r := newRolloutNet(t, 1, 2, 3)
@@ -340,8 +341,8 @@
 
 // TestRolloutsUnderFaults rolls out good and bad versions while daemons are killed, failure
 // domains are partitioned, or the store fails. A bad version must neither complete nor get
-// more calls than allowed, all daemons must agree on the final phase, and the agreed phases
-// must only move forward.
+// more calls than allowed, all daemons must agree on the final phase, and the committed
+// phases must only move forward.
 func TestRolloutsUnderFaults(t *testing.T) {
 	faults := []string{"none", "kill-deciders", "cut", "store-down", "store-loses", "all-restart"}
 	for seed := range uint64(4 * len(faults)) {
@@ -405,15 +406,15 @@
 	if !bad && phase != rollout.Completed {
 		t.Errorf("phase of the good version: got %s, want completed: %s", phase, n.nodes[0].w.Rollouts[rolloutService].Why)
 	}
-	for i := 1; i < len(n.agreed); i++ {
-		if !n.agreed[i].Follows(n.agreed[i-1]) {
-			t.Errorf("phase %s was agreed after %s", n.agreed[i].Phase, n.agreed[i-1].Phase)
+	for i := 1; i < len(n.committed); i++ {
+		if !n.committed[i].Follows(n.committed[i-1]) {
+			t.Errorf("phase %s was committed after %s", n.committed[i].Phase, n.committed[i-1].Phase)
 		}
 	}
 }
 
-// TestRolloutCostsFewBytes guards against rollouts that exceed the control traffic of a
-// daemon, 22 KB/s. It measures the bytes sent before compression, for a service with more
+// TestRolloutCostsFewBytes guards against rollouts for which a daemon sends more than the
+// control traffic allowed to it, 22 KB/s. It measures the bytes sent before compression, for a service with more
 // routes than are counted separately.
 func TestRolloutCostsFewBytes(t *testing.T) {
 	const maxBytesPerSecond, duration = 22_000, 6 * time.Second
--- a/internal/system/start_test.go
+++ b/internal/system/start_test.go
@@ -19,9 +19,9 @@
 	published []string
 	// document is what the store holds.
 	document config.Document
-	// nextAppend is when the last of the appends is done.
-	nextAppend time.Time
-	appends    []addressAppend
+	// lastAppendDone is when the last of the appends is done.
+	lastAppendDone time.Time
+	appends        []addressAppend
 }
 
 // addressAppend is an append of a daemon's addresses. The store carries out one at a time.
@@ -63,8 +63,8 @@
 		}
 	}
 	if out.PublishSelf {
-		s.nextAppend = latestTime(s.nextAppend, n.now).Add(4 * time.Millisecond)
-		s.appends = append(s.appends, addressAppend{s.nextAppend, node})
+		s.lastAppendDone = latestTime(s.lastAppendDone, n.now).Add(4 * time.Millisecond)
+		s.appends = append(s.appends, addressAppend{s.lastAppendDone, node})
 	}
 	for len(s.appends) > 0 && !s.appends[0].at.After(n.now) {
 		s.published = append(s.published, s.appends[0].node.id)
@@ -85,7 +85,7 @@
 }
 
 // startFleet starts n daemons in five failure domains at once, with the settings of the
-// production platform, and returns what that costs and takes until all know each other.
+// production platform, and returns the costs and the time until all daemons know each other.
 func startFleet(t testing.TB, n int) (*startupCosts, time.Duration) {
 	const domains = 5
 	net := &testNet{
@@ -121,11 +121,11 @@
 }
 
 // TestColdStartCostPerDaemon guards against cold starts whose cost per daemon grows too
-// fast with the size of the fleet. It starts fleets of n and of 4n daemons. The records
-// that a daemon forwards, which are most of the cost, may grow by n log n, as for any
-// broadcast over a tree; its requests to other daemons and to the store by no more than
-// log n. When each comparison of tables sent everything that might differ, the cost grew
-// by n to the 1.4.
+// fast with the size of the fleet. It starts fleets of n and of 4n daemons. The number of
+// records that a daemon forwards, which are most of the cost, may grow like n log n, as for
+// any broadcast over a tree; the number of its requests to other daemons and to the store no
+// faster than log n. When each comparison of tables sent everything that might differ, the
+// cost grew like n to the power of 1.4.
 func TestColdStartCostPerDaemon(t *testing.T) {
 	const small, large = 60, 4 * 60
 	logRatio := math.Log(large) / math.Log(small)
--- a/internal/system/storm_bench_test.go
+++ b/internal/system/storm_bench_test.go
@@ -11,7 +11,7 @@
 )
 
 // stormRoutes is the number of routes in the larger deployments, whose configuration
-// documents have some 250 KB.
+// documents are some 250 KB long.
 const stormRoutes = 1700
 
 // nextDocument returns the document of a later version, in which one route has another
--- a/internal/system/storm_test.go
+++ b/internal/system/storm_test.go
@@ -12,12 +12,12 @@
 	"github.com/comfreygate/comfreygate/internal/view"
 )
 
-// TestVersionReusesUnchangedRoutes guards against versions that cost as much as the whole
-// configuration, as in a storm of changes. It puts successive versions in force on a
-// daemon that holds 1,700 routes: unchanged routes must be reused, not built again.
-// Allocations stand for processor time, since they do not depend on the machine:
-// marshalling, hashing and indexing every route took some 24,000 of them per version, and
-// 4.8 ms.
+// TestVersionReusesUnchangedRoutes guards against versions each of which costs as much
+// processor time as the whole configuration, which a storm of changes multiplies. It puts
+// successive versions in force on a daemon that holds 1,700 routes: unchanged routes must be
+// reused, not built again. The test counts allocations instead of processor time, since they
+// do not depend on the machine: marshalling, hashing and indexing every route took some
+// 24,000 allocations per version, and 4.8 ms.
 func TestVersionReusesUnchangedRoutes(t *testing.T) {
 	// Copying the table of routes takes one allocation for each route.
 	const maxAllocs = stormRoutes + 300
@@ -49,7 +49,7 @@
 	}
 	routeAfter, _ := inForce.Match("h", "/r3/")
 	changed, _ := inForce.Match("h", "/r7/")
-	is.True(routeAfter == routeBefore) // reused, with the state of its split between shares
+	is.True(routeAfter == routeBefore) // reused, with its call counter
 	is.Equal(changed.Policy.Timeout, time.Duration(doc.Version)*time.Millisecond)
 	receiver.MembersChanged()
 	is.True(view.Build(receiver, inForce).Routes == inForce.Routes)
--- a/internal/system/suspects_test.go
+++ b/internal/system/suspects_test.go
@@ -20,8 +20,8 @@
 
 // quarantine records three crashes at a daemon, each with the request as a suspect.
 func quarantine(node *testNode, d suspect.Digest) {
-	for e := range suspect.QuarantineThreshold {
-		node.w.Suspects.RecordCrash(d, suspect.CrashID(100*uint64(d)+uint64(e)))
+	for i := range suspect.QuarantineThreshold {
+		node.w.Suspects.RecordCrash(d, suspect.CrashID(100*uint64(d)+uint64(i)))
 	}
 }
 
@@ -66,8 +66,8 @@
 }
 
 // TestQuarantineCrossesPartitionsThroughTheStore partitions each failure domain from the
-// others. The record must reach all through the store; a domain that cannot reach the store
-// either must get it when it reaches the store or the others again.
+// others. The record must reach all domains through the store. A domain that cannot reach
+// the store either must get the record once it reaches the store or the others again.
 func TestQuarantineCrossesPartitionsThroughTheStore(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 3, 4)
@@ -132,8 +132,8 @@
 	is.Equal(n.quarantineWrites, 1)
 }
 
-// TestEarlierReleasesGetNoSuspects guards against messages that daemons of earlier
-// releases do not know: those close the connection on which such a message arrives.
+// TestEarlierReleasesGetNoSuspects guards against sending daemons of earlier releases a
+// message that they do not know: they close the connection on which it arrives.
 func TestEarlierReleasesGetNoSuspects(t *testing.T) {
 	is := is.New(t)
 	w := documentWorld()
@@ -249,7 +249,7 @@
 	n.quarantineWrites++
 }
 
-// serveQuarantine carries out what a tick asked of the store's quarantine records.
+// serveQuarantine carries out the requests of a tick to the store's quarantine records.
 func (n *testNet) serveQuarantine(node *testNode, out Outbox) {
 	if n.storeUnreachable[node.domain] {
 		return
--- a/internal/system/system_test.go
+++ b/internal/system/system_test.go
@@ -14,7 +14,7 @@
 	"github.com/comfreygate/comfreygate/platform/store"
 )
 
-// baseConfig holds the commands that create what later changes build on.
+// baseConfig holds the commands that create the entities that later changes refer to.
 const baseConfig = "put service s; put policy p urgency normal timeout 1s; put caller c; put route r path /r to s policy p callers c"
 
 func TestDaemonsConvergeOnTheLog(t *testing.T) {
@@ -73,8 +73,8 @@
 	})
 }
 
-// expireApplied drops records from the log that some running daemon has applied, and keeps
-// the last keep of them. Records that nobody has applied stay: retention is hours, while
+// expireApplied drops from the log the records that some running daemon has applied, except
+// the last keep of them. Records that no daemon has applied stay: retention is hours, while
 // reading takes milliseconds.
 func (n *testNet) expireApplied(keep int) {
 	batch, err := n.log.Read(context.Background(), store.Query{Topic: store.ConfigTopic})
@@ -157,8 +157,8 @@
 }
 
 // TestIsolatedDaemonDoesNotServeEmptyConfig restarts a daemon that can reach neither the
-// log nor a peer: it must not put an empty configuration in force. The history was
-// reduced from a generated one.
+// log nor a peer: it must not put an empty configuration in force. The sequence of faults
+// was reduced from a generated one in which that happened.
 func TestIsolatedDaemonDoesNotServeEmptyConfig(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 2, 2)
@@ -197,8 +197,8 @@
 	first := n.nodes[0]
 	highest := first.highestApplied
 	is.Equal(highest, uint64(2))
-	// The log is down and no daemon holds version 2. The one that keeps running only
-	// remembers that the restarted daemon had it.
+	// The log is down and no daemon holds version 2. The daemon that keeps running only has
+	// a record that the restarted daemon had that version in force.
 	n.log.SetFaults(devlog.Faults{Down: true})
 	n.kill(n.nodes[1])
 	n.kill(first)
--- a/internal/system/testnet_test.go
+++ b/internal/system/testnet_test.go
@@ -38,11 +38,11 @@
 	// domainPair; storeUnreachable the domains that cannot reach the store.
 	partitions       map[string]bool
 	storeUnreachable map[string]bool
-	// hashAt is the hash of the state that daemons held at each position of the log.
+	// hashAt holds the hash of the state that daemons held at each position of the log.
 	hashAt map[string]string
 	// checkFloor makes checkInvariants fail if a restarted daemon serves a version
-	// older than before. Tests that restart a daemon where it cannot reach those who
-	// know its version turn it off.
+	// older than before. It is off in tests that restart a daemon where it cannot reach
+	// the daemons that know its version.
 	checkFloor bool
 	// quarantineStore holds the store's records of quarantined requests.
 	// quarantineVersion counts all writes to it, quarantineWrites those since a test
@@ -50,9 +50,9 @@
 	quarantineStore   map[suspect.Digest][]byte
 	quarantineVersion int
 	quarantineWrites  int
-	// agreed are the rollout phases that the store accepted, published those that
-	// operators could read.
-	agreed, published []rollout.Record
+	// committed are the rollout records that the store accepted, published those whose
+	// phase operators could read.
+	committed, published []rollout.Record
 	// revocationBound is the time after which a revoked key must admit no calls. It
 	// applies to daemons that start from now on.
 	revocationBound time.Duration
@@ -86,7 +86,7 @@
 	powerLost bool
 	// paused daemons run no ticks. Their inputs are queued.
 	paused bool
-	// viewOutdated is set when a tick asked for a new view for the call path.
+	// viewOutdated is set when a tick has requested a new view for the call path.
 	viewOutdated bool
 	// lastQuarantineRead identifies the incarnation and the version of the store's
 	// quarantine at the last read.
@@ -204,7 +204,7 @@
 	return min(a.domain, b.domain) + "|" + max(a.domain, b.domain)
 }
 
-// run advances the time and runs all daemons, which checks the invariants at each tick.
+// run advances the time, runs the ticks of all daemons, and checks the invariants at each.
 func (n *testNet) run(d time.Duration) {
 	for end := n.now.Add(d); n.now.Before(end); {
 		n.now = n.now.Add(tickInterval)
@@ -223,8 +223,8 @@
 	return n.now.Sub(time.Unix(1_699_990_000, 0)) + time.Duration(node.index)*time.Hour
 }
 
-// arrivalTime returns when a message sent now arrives: never before the messages that
-// were sent on the connection earlier.
+// arrivalTime returns when a message sent now arrives. It never arrives before messages
+// that were sent on the connection earlier.
 func (n *testNet) arrivalTime(p *pipe) time.Time {
 	at := n.now.Add(tickInterval)
 	if n.extraDelay != nil {
@@ -236,7 +236,7 @@
 	return at
 }
 
-// deliver passes on the messages and the failures of dials that are due.
+// deliver queues the messages and the dial failures that are due as inputs of their daemons.
 func (n *testNet) deliver() {
 	for _, p := range n.pipes {
 		for len(p.queue) > 0 && !p.queue[0].at.After(n.now) {
@@ -254,7 +254,7 @@
 	}
 }
 
-// tick runs one tick of a daemon and carries out what it asks for.
+// tick runs one tick of a daemon and carries out the actions that the tick returns.
 func (n *testNet) tick(node *testNode) {
 	in := node.inputs
 	node.inputs = nil
@@ -334,7 +334,7 @@
 	return n.byAddr[addr]
 }
 
-// serveLog carries out what a tick asked of the log.
+// serveLog carries out the requests of a tick to the log.
 func (n *testNet) serveLog(node *testNode, out Outbox) {
 	unreachable := n.storeUnreachable[node.domain]
 	if out.ReadLog && !n.now.Before(out.ReadAfter) {
--- a/internal/system/topology_test.go
+++ b/internal/system/topology_test.go
@@ -16,7 +16,7 @@
 // below daemons with slow links, each of which takes seconds to forward a version: one
 // change was in force 2.53 s after it was accepted, 30 ms too late. In two failure
 // domains of 20 VMs, of which 7 have links of 5 to 7 Mbit/s, no such VM may read the log
-// or have a child.
+// or have a child, since there are enough others.
 func TestNarrowLinksNeitherReadNorRelay(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 2, 20)
@@ -33,23 +33,23 @@
 	n.publish("a", "put service s")
 	n.converge(30 * time.Second)
 	n.run(5 * time.Second)
-	readers, relays := 0, 0
+	readers, children := 0, 0
 	for _, node := range n.nodes {
 		if node.w.MembersTree.Root {
 			readers++
 			is.True(!narrow[node.id])
 		}
 		if p := node.w.MembersTree.Parent; p != "" {
-			relays++
+			children++
 			is.True(!narrow[p])
 		}
 	}
-	is.True(readers >= 2 && relays >= 36)
+	is.True(readers >= 2 && children >= 36)
 }
 
 // TestOrderIsDeterministicAndByBandwidth checks that all daemons that know the same
-// members compute the same order of them, and that no member comes after one whose link
-// has half its bandwidth or less.
+// members compute the same order of them, and that no member comes after a member whose
+// link has at most half the bandwidth.
 func TestOrderIsDeterministicAndByBandwidth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		links := rapid.SliceOfN(rapid.SampledFrom([]float64{0, 5, 6, 12, 25, 50, 100, 1000}), 2, 12).Draw(t, "links")
--- a/internal/system/upstream_test.go
+++ b/internal/system/upstream_test.go
@@ -12,8 +12,8 @@
 	"github.com/comfreygate/comfreygate/internal/wire"
 )
 
-// TestUpstreamLifecycle follows an upstream from its announcement through the ramp to its
-// withdrawal, and a restart under the same name until its announcements stop.
+// TestUpstreamLifecycle follows an upstream from its announcement through the ramp until it
+// is deregistered, and then its next incarnation until its announcements stop.
 func TestUpstreamLifecycle(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 1, 1)
@@ -42,7 +42,7 @@
 	is.Equal(len(tick(time.Second, Announced{announced("one")})), 0)
 	is.Equal(tick(0, Deregistered{"vm/up"}), []event.Kind{event.UpstreamDraining})
 	is.Equal(serving(), 0)
-	is.Equal(len(tick(0, Announced{announced("one")})), 0) // a late renewal does not revive it
+	is.Equal(len(tick(0, Announced{announced("one")})), 0) // a late renewal does not end the draining
 	is.Equal(serving(), 0)
 	is.Equal(tick(0, Announced{announced("two")}), []event.Kind{event.UpstreamUp}) // its next incarnation is served
 	is.Equal(serving(), 1)
