--- a/internal/system/rollouts_test.go
+++ b/internal/system/rollouts_test.go
@@ -414,8 +414,8 @@
 }
 
 // TestRolloutCostsFewBytes guards against rollouts for which a daemon sends more than the
-// control traffic allowed to it, 22 KB/s. It measures the bytes sent before compression, for a service with more
-// routes than are counted separately.
+// control traffic allowed to it, 22 KB/s. It measures the bytes sent before compression, for
+// a service with more routes than are counted separately.
 func TestRolloutCostsFewBytes(t *testing.T) {
 	const maxBytesPerSecond, duration = 22_000, 6 * time.Second
 	for _, size := range []struct{ domains, perDomain int }{{3, 5}, {3, 23}, {7, 19}} {
--- a/internal/system/suspects.go
+++ b/internal/system/suspects.go
@@ -12,10 +12,10 @@
 )
 
 // Records of suspects (requests that were running at an upstream when it crashed) are
-// distributed in two ways. Changes are sent at once, without a gossip window, along all connections,
-// and a new connection synchronizes what the peer lacks. Quarantined requests are also
-// written to the store, for daemons that no peer can inform and for those that start
-// after all daemons have stopped.
+// distributed in two ways. Changes are sent at once, without a gossip window, along all
+// connections, and the daemon sends its records on a new connection if the peer's table
+// differs. Quarantined requests are also written to the store, for daemons that no peer can
+// inform and for daemons that start after all daemons have stopped.
 
 // SuspectsChanged reports that the table of suspects has changed.
 type SuspectsChanged struct{}
