--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -14,8 +14,8 @@
 // dictBytes is the length of the compression dictionary, which is the longest that
 // stateless compression can use. The dictionary is the end of what was sent before, since
 // messages repeat the names and keys of the preceding ones. A stateful compressor would
-// take most of a megabyte for each connection, and when all daemons start at once,
-// touching that memory would take more time than everything else.
+// take most of a megabyte for each connection, and when all daemons start at the same
+// time, touching that memory would take more time than everything else.
 const dictBytes = 8 << 10
 
 // stream sends messages as consecutive JSON values. Each direction is one compressed
--- a/internal/system/incarnations_test.go
+++ b/internal/system/incarnations_test.go
@@ -49,7 +49,7 @@
 	is.Equal(tick(announcement(3000, 9, false)) == nil, true)                                                // late
 	is.Equal(tick(announcement(4000, 1, false)).StartedMs, int64(4000))                                      // another incarnation
 	is.Equal(tick(announcement(4000, 3, true), announcement(4000, 2, false)).Draining, true)                 // reordered
-	is.Equal(tick(announcement(1000, 100, false), announcement(2000, 5, false)).StartedMs, int64(4000))      // several late ones at once
+	is.Equal(tick(announcement(1000, 100, false), announcement(2000, 5, false)).StartedMs, int64(4000))      // several late ones in one tick
 	is.Equal(tick(Removed{Name: "vm/up", StartedMs: 1000}, announcement(4000, 4, true)).Sequence, uint64(4)) // a late removal
 }
 
--- a/internal/system/log.go
+++ b/internal/system/log.go
@@ -178,8 +178,8 @@
 
 // runCheckpoints appends a checkpoint if none was seen during the checkpoint interval.
 // Each root waits longer than those ranked before it, so that usually only one appends.
-// No lease is needed: a checkpoint is a function of the records before it, so a late one
-// from a paused daemon, or two at once, cannot be wrong.
+// No lease is needed: a checkpoint is a function of the records before it, so neither a late
+// checkpoint from a paused daemon nor two concurrent ones can be wrong.
 func runCheckpoints(w *table.World, now time.Time, out *Outbox) {
 	publishSelf(w, now, out)
 	if !w.MembersTree.Root || !w.Log.Up || w.Log.Regressed || w.Log.Scanning {
--- a/internal/system/start_test.go
+++ b/internal/system/start_test.go
@@ -84,8 +84,9 @@
 	}
 }
 
-// startFleet starts n daemons in five failure domains at once, with the settings of the
-// production platform, and returns the costs and the time until all daemons know each other.
+// startFleet starts n daemons in five failure domains at the same time, with the settings of
+// the production platform, and returns the costs and the time until all daemons know each
+// other.
 func startFleet(t testing.TB, n int) (*startupCosts, time.Duration) {
 	const domains = 5
 	net := &testNet{
--- a/internal/system/system_test.go
+++ b/internal/system/system_test.go
@@ -238,8 +238,8 @@
 	return s
 }
 
-// TestAllDaemonsRestartFromACheckpoint restarts all daemons at once while the log holds
-// only a checkpoint: they must serve its version.
+// TestAllDaemonsRestartFromACheckpoint restarts all daemons at the same time while the log
+// holds only a checkpoint: they must serve the checkpoint's version.
 func TestAllDaemonsRestartFromACheckpoint(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetFor(t, 3, 2)
--- a/internal/system/topology.go
+++ b/internal/system/topology.go
@@ -187,8 +187,8 @@
 }
 
 // mayReadLog reports whether this daemon may read the log. A daemon that has just started
-// knows few members and therefore ranks first among them. To prevent all such daemons
-// from reading the log at once, each waits until its members match those of a peer, or
+// knows few members and therefore ranks first among them. To prevent all such daemons from
+// reading the log at the same time, each waits until its members match those of a peer, or
 // for the grace time.
 func mayReadLog(w *table.World, now time.Time) bool {
 	if now.Sub(w.Started) >= w.Params.Grace {
--- a/internal/table/rollout.go
+++ b/internal/table/rollout.go
@@ -14,8 +14,8 @@
 	// this daemon's clock.
 	Since      time.Time
 	PhaseSince time.Time
-	// StopReason is the reason why the new version gets no more calls here, before the store
-	// has recorded that the rollout is reverted; else "".
+	// StopReason is the reason why this daemon sends the new version no more calls although
+	// the store does not record yet that the rollout is reverted; else "".
 	StopReason string
 	// Stored is set if the store holds the record, Published if the store also holds the
 	// phase where operators read it.
--- a/internal/table/world.go
+++ b/internal/table/world.go
@@ -208,7 +208,8 @@
 	Unwanted map[LinkID]time.Time
 }
 
-// Config is the configuration held.
+// Config is the configuration that this daemon holds. It is in force once the daemon is
+// ready.
 type Config struct {
 	State *config.State
 	// Since is when the state's version was received; zero if there is none yet.
--- a/internal/view/routes.go
+++ b/internal/view/routes.go
@@ -27,7 +27,7 @@
 	Open bool
 	// Public is set if calls need no workspace's key.
 	Public bool
-	// counter counts the calls, to spread them over the targets.
+	// counter counts the calls, from a random start, to spread them over the targets.
 	counter *atomic.Uint64
 	// source is the configured route that this one was built from.
 	source config.Route
--- a/internal/view/split.go
+++ b/internal/view/split.go
@@ -29,7 +29,7 @@
 	// calls move to the new version.
 	others   int
 	fallback *Service
-	// counter counts the calls, to spread them over the versions.
+	// counter counts the calls, from a random start, to spread them over the versions.
 	counter *atomic.Uint64
 }
 
