--- a/internal/callpath/answerbody.go
+++ b/internal/callpath/answerbody.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// answerBody is the body of an upstream's response. Closing it calls done, which releases
-// the slot, connection or count that the attempt holds.
+// answerBody is the body of an upstream's response. Closing it calls onClose, which
+// releases the slot, connection or count that the attempt holds.
 type answerBody struct {
 	io.ReadCloser
 	once sync.Once
 	// onClose is called once, when the body is closed.
 	onClose func()
-	// onReadEnd is called once with the error that ends the reading, io.EOF included. It may
-	// be nil.
+	// onReadEnd is called once with the error that ends the reading, io.EOF included. It
+	// may be nil.
 	onReadEnd func(error)
 }
 
--- a/internal/callpath/attempt.go
+++ b/internal/callpath/attempt.go
@@ -85,22 +85,24 @@
 	// workspace of the call, or for a nested call that of its parent request.
 	Flow     string
 	Upstream string
-	// Incarnation is that of the owner, as the ingress knows it.
+	// Incarnation is the owner's incarnation, as the ingress knows it.
 	Incarnation uint64
 	Urgency     config.Urgency
 	Deadline    time.Time
 	// Objective is the time by which the response should arrive, or zero if the route has
 	// no objective.
 	Objective time.Time
-	// TypicalLatency is how long calls of the route usually take, as measured at the ingress.
+	// TypicalLatency is how long calls of the route usually take, as measured at the
+	// ingress.
 	TypicalLatency time.Duration
 	// Nested is set if an upstream makes the call for a request that it is running, the
 	// parent request.
 	Nested bool
-	// ParentServed is the share of recent calls to the parent request's upstream that
+	// ParentServed is the fraction of recent calls to the parent request's upstream that
 	// were served, in permille. It is set on nested calls only.
 	ParentServed int
-	// WaitFraction is the request's Dialect.lot. It is set on nested calls only.
+	// WaitFraction is the result of Dialect.waitFraction for Request. It is set on nested
+	// calls only.
 	WaitFraction float64
 	// Repeated is set if an upstream may already have received the call or its parent
 	// request: the nested calls of a repeated run count as repeats at their upstreams
@@ -124,23 +126,23 @@
 	cachedDigest suspect.Digest
 }
 
-// senderIncarnation returns the part of the attempt ID that identifies the sender's incarnation. An ID
-// is that part, a dash and a number.
+// senderIncarnation returns the part of the attempt ID that identifies the sender's
+// incarnation. An ID is that part, a dash and a number.
 func (a *Attempt) senderIncarnation() string {
 	return a.ID[:max(0, strings.LastIndexByte(a.ID, '-'))]
 }
 
 // digest returns the digest that all copies of the attempt's request share. Only the
-// goroutine that runs the attempt may call it; others call sum.
+// goroutine that runs the attempt may call it; others call computeDigest.
 func (a *Attempt) digest() suspect.Digest {
 	if a.cachedDigest == 0 {
-		a.cachedDigest = a.sum()
+		a.cachedDigest = a.computeDigest()
 	}
 	return a.cachedDigest
 }
 
-// sum computes the digest of the request without caching it.
-func (a *Attempt) sum() suspect.Digest {
+// computeDigest computes the digest of the request without caching it.
+func (a *Attempt) computeDigest() suspect.Digest {
 	host := a.Host
 	if a.AnyHost {
 		host = ""
@@ -148,18 +150,18 @@
 	return suspect.Of(a.Caller, a.Method, host, a.URL.EscapedPath(), a.URL.RawQuery, a.Body)
 }
 
-// permille converts a share to the integer that is sent in a header.
+// permille converts a fraction to the integer that is sent in a header.
 const permille = 1000
 
-// stampClock sets the clock header to the logical clock of this daemon's events.
-func stampClock(h http.Header, events *event.Ring) {
+// setClockHeader sets the clock header to the logical clock of this daemon's events.
+func setClockHeader(h http.Header, events *event.Ring) {
 	h.Set(headerClock, strconv.FormatInt(events.Clock().Now(), 10))
 }
 
-// observeClock advances the logical clock of this daemon's events past the one in the
+// observeClock advances the logical clock of this daemon's events past the clock in the
 // message.
 func observeClock(h http.Header, events *event.Ring) {
-	if stamp, err := strconv.ParseInt(h.Get(headerClock), 10, 64); err == nil {
-		events.Clock().Observe(stamp)
+	if clock, err := strconv.ParseInt(h.Get(headerClock), 10, 64); err == nil {
+		events.Clock().Observe(clock)
 	}
 }
--- a/internal/callpath/buffer.go
+++ b/internal/callpath/buffer.go
@@ -11,13 +11,13 @@
 )
 
 // maxBufferedAnswer is the size in bytes up to which a response is buffered completely
-// before the caller receives any of it. A response within it that is cut off can be
-// retried at another upstream; longer ones are streamed.
+// before the caller receives any of it. A response of at most this size that is truncated
+// can be retried at another upstream; longer ones are streamed.
 const maxBufferedAnswer = 1 << 20
 
 // bufferAnswer reads a response into memory, unless it is longer than maxBufferedAnswer.
-// A response that is cut off becomes an unknown outcome. The returned size is the number
-// of bytes read.
+// A truncated response becomes an unknown outcome. The returned size is the number of
+// bytes read.
 func bufferAnswer(ctx context.Context, r outcome.Result) (outcome.Result, int) {
 	var buf bytes.Buffer
 	n, err := io.Copy(&buf, io.LimitReader(r.Body, maxBufferedAnswer))
--- a/internal/callpath/callerconn.go
+++ b/internal/callpath/callerconn.go
@@ -9,14 +9,14 @@
 type connKey struct{}
 
 // WithConn stores the connection on which requests arrive in their context, so that
-// callerGone can check it. Use it as the ConnContext of an http.Server.
+// callerDisconnected can check it. Use it as the ConnContext of an http.Server.
 func WithConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// callerDisconnected reports whether the sender of the request has closed its connection. The
-// server also notices that and cancels the context, but when CPU time is short only after
-// it has dispatched the requests that were waiting in the sockets meanwhile.
+// callerDisconnected reports whether the sender of the request has closed its connection.
+// The server also notices that and cancels the context, but when CPU time is short only
+// after it has dispatched the requests that were waiting in the sockets meanwhile.
 func callerDisconnected(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return true
--- a/internal/callpath/callerconn_test.go
+++ b/internal/callpath/callerconn_test.go
@@ -65,7 +65,7 @@
 	is.Equal(refused.Outcome, outcome.NotRun)
 	is.Equal(refused.Reason, outcome.ReasonCancelled)
 	is.Equal(w.runs.Load(), int64(1))
-	is.Equal(w.owner.ledger.ask("gone"), Voided)
+	is.Equal(w.owner.ledger.state("gone"), Voided)
 	is.True(!closedByPeer(server)) // although another goroutine is reading from it
 	client.Close()
 }
--- a/internal/callpath/dialect.go
+++ b/internal/callpath/dialect.go
@@ -25,22 +25,23 @@
 	Key string
 	// Workspace names the workspace to upstreams.
 	Workspace string
-	// Depth is the number of ingress daemons that a call has passed through.
+	// Depth holds the number of ingress daemons that a call has passed through.
 	Depth string
-	// ExpectedInstance tells an upstream which process a request is meant for. Another process
-	// that has taken over the address responds with StatusMisdirectedRequest and does not
-	// run the request.
+	// ExpectedInstance tells an upstream which process a request is meant for. Another
+	// process that has taken over the address responds with StatusMisdirectedRequest and
+	// does not run the request.
 	ExpectedInstance string
 	// NotRun marks an upstream's response to a request that it has not run.
 	NotRun string
-	// ReportedRequests returns the number of requests, running and waiting, that an upstream reports
-	// in a response; false: the response does not say. Nil: upstreams never report it.
+	// ReportedRequests returns the number of requests, running and waiting, that an
+	// upstream reports in a response; false: the response does not say. Nil: upstreams
+	// never report it.
 	ReportedRequests func(http.Header) (int, bool)
-	// EchoesRequestID is set if upstreams repeat Request in their responses. A response with
-	// another ID then belongs to another request.
+	// EchoesRequestID is set if upstreams repeat Request in their responses. A response
+	// with another ID then belongs to another request.
 	EchoesRequestID bool
-	// ParentRequest returns the ID of the parent request, for which an upstream made the request
-	// with the given ID, or empty if the ID does not tell. Nil: no ID does.
+	// ParentRequest returns the ID of the parent request, for which an upstream made the
+	// request with the given ID, or empty if the ID does not tell. Nil: no ID does.
 	ParentRequest func(request string) string
 	// FractionalRetryAfter is set if callers accept fractions of a second in Retry-After.
 	FractionalRetryAfter bool
@@ -58,9 +59,11 @@
 	}
 }
 
-// waitFraction returns a number from 0 to 1 that is derived from the ID of the root request: it is
-// the same for all calls, at any depth, that are made for one caller's request, and
-// independent between requests.
+// waitFraction returns a number from 0 to 1 that is derived from the ID of the root
+// request: it is the same for all calls, at any depth, that are made for one caller's
+// request, and independent between requests. A gate lets a nested call wait for this
+// fraction of the allowed time, so that the nested calls of one request are refused
+// together or not at all.
 func (d Dialect) waitFraction(request string) float64 {
 	if d.ParentRequest != nil {
 		for parent := d.ParentRequest(request); parent != ""; parent = d.ParentRequest(request) {
--- a/internal/callpath/fleet_crash_test.go
+++ b/internal/callpath/fleet_crash_test.go
@@ -14,15 +14,15 @@
 	"github.com/comfreygate/comfreygate/internal/view"
 )
 
-// Timing observed of a poison request: it ran for 50 ms before the upstream crashed, and the
-// upstream had restarted after 3.3 s.
+// Timing observed of a poison request: it ran for 50 ms before the upstream crashed, and
+// the upstream had restarted after 3.3 s.
 const (
 	simCrashDelay  = 50 * time.Millisecond
 	simRestartTime = 3300 * time.Millisecond
 	// simPropagationDelay is the time until a change of a suspect record has reached all
 	// daemons: twice what the slowest of 93 daemons took over real sockets.
 	simPropagationDelay = 20 * time.Millisecond
-	// simPopularShare is the part of a kind's calls that are copies of one request.
+	// simPopularShare is the fraction of a kind's calls that are copies of one request.
 	simPopularShare = 0.05
 )
 
@@ -196,7 +196,8 @@
 	return s
 }
 
-// withPoisonRequests sends this many different poison requests from second 3 on.
+// withPoisonRequests sends the given number of different poison requests from second 3
+// on.
 func withPoisonRequests(requests int) func(*fleetSim) {
 	return func(s *fleetSim) {
 		var from []*simVM
@@ -219,8 +220,8 @@
 // crashTally sums up the effects of poison requests.
 type crashTally struct{ crashes, runs, lateRuns, wronglyRefused, calls int }
 
-// tallyCrashes returns the tally of a simulation. Late runs are those of a poison request
-// that began when the third crash under it was known everywhere; with several poison
+// tallyCrashes returns the tally of a simulation. Late runs are the runs of a poison
+// request that began after its third crash was known everywhere; with several poison
 // requests, the one with the most late runs counts.
 func (s *fleetSim) tallyCrashes() crashTally {
 	const propagationTime = 3 * time.Second
@@ -249,9 +250,9 @@
 		// maxLateRuns is how often a poison request may run once all daemons could know
 		// of it.
 		maxLateRuns = 3
-		// maxRefusedShare is the part of other calls that may be refused where two poison
-		// requests crash most of a small fleet within a second, so that the same calls
-		// run beside them repeatedly.
+		// maxRefusedShare is the fraction of other calls that may be refused where two
+		// poison requests crash most of a small fleet within a second, so that the same
+		// calls run beside them repeatedly.
 		maxRefusedShare = 1.0 / 500
 	)
 	for _, tc := range []struct {
--- a/internal/callpath/fleet_sim_test.go
+++ b/internal/callpath/fleet_sim_test.go
@@ -19,7 +19,7 @@
 	"github.com/comfreygate/comfreygate/internal/view"
 )
 
-// A fleetSim simulates many daemons in virtual time. The choice of an upstream, the retry
+// fleetSim simulates many daemons in virtual time. The choice of an upstream, the retry
 // rules and the gates are the real code; upstreams, callers and the network are
 // simulated. The same seed gives the same result.
 type fleetSim struct {
@@ -35,7 +35,7 @@
 	// attempts counts all attempts, crossDomain those sent to another failure domain.
 	attempts    int
 	crossDomain int
-	// refusalRate is the part of the attempts at a service that its upstreams refuse.
+	// refusalRate is the fraction of the attempts at a service that its upstreams refuse.
 	refusalRate map[string]float64
 	// callsTo counts the calls to a service that are not repeats, repeatsAt the repeats
 	// that reach its upstreams.
@@ -148,7 +148,7 @@
 type simLoad struct {
 	slots   int
 	domains int
-	// largeShare is the part of the VMs whose upstreams belong to the larger service.
+	// largeShare is the fraction of the VMs whose upstreams belong to the larger service.
 	largeShare float64
 	speeds     []float64
 	kinds      []*simKind
@@ -317,7 +317,7 @@
 	}}
 	if parent != nil {
 		c.attempt.Nested, c.attempt.Urgency, c.attempt.ParentServed = true, parent.urgency, int(permille*parent.vm.gate.ServedFraction())
-		c.attempt.WaitFraction, c.attempt.Repeated = parent.rootHash, parent.repeated
+		c.attempt.WaitFraction, c.attempt.Repeated = parent.waitFraction, parent.repeated
 	}
 	for _, b := range []*budget{in.retryBudget, in.refusalBudget, in.failureBudget} {
 		b.earn(c.service.Name)
@@ -385,7 +385,7 @@
 
 // arrive handles an attempt that reaches the daemon of its upstream.
 func (s *fleetSim) arrive(vm, to *simVM, k *simKind, c *call, reply func(outcome.Result)) {
-	ask := admissionRequest(&c.attempt)
+	req := admissionRequest(&c.attempt)
 	refuse := func(reason outcome.Reason, after time.Duration) {
 		r := outcome.Refuse(reason, after)
 		r.Load, r.HasLoad = to.gate.Load(), true
@@ -395,10 +395,10 @@
 		refuse(reason, 0)
 		return
 	}
-	w, reason, after := to.gate.Enter(ask)
+	w, reason, after := to.gate.Enter(req)
 	switch {
 	case w == nil && reason == "":
-		s.runAttempt(to, k, c, ask, reply)
+		s.runAttempt(to, k, c, req, reply)
 	case w == nil:
 		refuse(reason, after)
 	default:
@@ -407,9 +407,9 @@
 				refuse(reason, to.gate.RetryAfter())
 				return
 			}
-			s.runAttempt(to, k, c, ask, reply)
+			s.runAttempt(to, k, c, req, reply)
 		}})
-		s.after(ask.Deadline.Sub(s.now)-admission.AnswerMargin, func() {
+		s.after(req.Deadline.Sub(s.now)-admission.AnswerMargin, func() {
 			to.gate.Withdraw(w, outcome.ReasonDeadline)
 			s.deliverDecisions(to)
 		})
@@ -436,11 +436,11 @@
 
 // simParent is the request that makes nested calls.
 type simParent struct {
-	// rootHash stands for the Lot of the request's nested calls.
-	rootHash float64
-	repeated bool
-	urgency  config.Urgency
-	vm       *simVM
+	// waitFraction is the WaitFraction of the request's nested calls.
+	waitFraction float64
+	repeated     bool
+	urgency      config.Urgency
+	vm           *simVM
 }
 
 // runAttempt runs an admitted attempt at an upstream.
@@ -464,7 +464,7 @@
 	factor := math.Exp(sigma*s.rng.NormFloat64() - sigma*sigma/2)
 	took := time.Duration(float64(k.work) * factor / vm.speed * s.slowdown(vm))
 	began := s.now
-	parent := &simParent{urgency: a.Urgency, vm: vm, rootHash: s.rng.Float64(), repeated: c.attempt.Repeated}
+	parent := &simParent{urgency: a.Urgency, vm: vm, waitFraction: s.rng.Float64(), repeated: c.attempt.Repeated}
 	finished := false
 	finish, refusal := s.startRun(vm, k, c, func() {
 		finished = true
@@ -572,13 +572,13 @@
 	s.after(sampleInterval, s.sample)
 }
 
-// utilization returns the part of a service's slots that was in use.
+// utilization returns the fraction of a service's slots that was in use.
 func (s *fleetSim) utilization(service string) float64 {
 	return float64(s.sampledInUse[service]) / float64(s.sampledSlots[service])
 }
 
-// valueShare returns the value of the answers that callers got as a part of the value of
-// all calls answered in time.
+// valueShare returns the value of the answers that callers got as a fraction of the value
+// that they would have if all calls were answered in time.
 func (s *fleetSim) valueShare() float64 {
 	earned, possible := 0.0, 0.0
 	for _, k := range s.kinds {
--- a/internal/callpath/ingress.go
+++ b/internal/callpath/ingress.go
@@ -45,11 +45,10 @@
 	// InquireAfter is how long an attempt may go unanswered before its owner is asked
 	// about it over a new connection.
 	InquireAfter time.Duration
-	// RetryRatio is the number of retries allowed per call, over all daemons. RetryBurst
-	// is the maximum number of unused retries to a service that this daemon accumulates.
+	// RetryRatio is the number of retries allowed per call, over all daemons.
 	RetryRatio float64
-	// MaxConfigAge is the maximum age of a configuration at which calls are still admitted by
-	// workspace key. Zero: any age.
+	// MaxConfigAge is the maximum age of a configuration at which calls are still
+	// admitted by workspace key. Zero: any age.
 	MaxConfigAge time.Duration
 	RetryBurst   float64
 	// CrossDomainCost is the cost of sending a megabyte between failure domains, as a
@@ -74,16 +73,16 @@
 	owner  *Owner
 	remote *remote
 	picker *pick.Picker
-	// retryBudget limits the retries that may reach upstreams, refusals those after an owner
-	// refused an attempt because its upstream was full.
+	// retryBudget limits the retries that may reach upstreams, refusalBudget those after
+	// an owner refused an attempt because its upstream was full.
 	retryBudget   *budget
 	refusalBudget *budget
-	// failureBudget limits the retries after an upstream's own failure. They are charged to
-	// budget as well.
+	// failureBudget limits the retries after an upstream's own failure. They are charged
+	// to retryBudget as well.
 	failureBudget *budget
 	view          atomic.Pointer[view.View]
-	// confirmedAt is the freshness.Stamp of the configuration in force: the last time at
-	// which it was certainly the newest.
+	// confirmedAt is the freshness.Timestamp of the configuration in force: the last time
+	// at which it was certainly the newest.
 	confirmedAt atomic.Int64
 	// incarnationID identifies this run of the process. It prefixes attempt IDs, which
 	// makes them unique across daemons and restarts.
@@ -146,8 +145,8 @@
 	in.cfg.Limits.Update(in.backgroundCtx, v)
 }
 
-// SetFreshAt records the freshness of the configuration: the last time at which that of the
-// current view, or of one before it, was certainly the newest.
+// SetFreshAt records the freshness of the configuration: the last time at which the
+// configuration of the current view, or of an earlier view, was certainly the newest.
 func (in *Ingress) SetFreshAt(s freshness.Timestamp) { in.confirmedAt.Store(int64(s)) }
 
 // Stale reports whether calls that need a workspace key are being refused because the
@@ -165,20 +164,20 @@
 	return fresh, in.view.Load()
 }
 
-// CloseConnections makes responses close their connections, so that callers open their next ones to
-// other daemons.
+// CloseConnections makes responses close their connections, so that callers open their
+// next ones to other daemons.
 func (in *Ingress) CloseConnections() { in.leaving.Store(true) }
 
-// RefuseNewCalls makes the ingress refuse every new call as not run, because the process will
-// exit before it can be sure to answer one. Nested calls are still served: without them
-// the requests that are running at upstreams on this VM would fail.
+// RefuseNewCalls makes the ingress refuse every new call as not run, because the process
+// may exit before it has answered one. Nested calls are still served: without them the
+// requests that are running at upstreams on this VM would fail.
 func (in *Ingress) RefuseNewCalls() { in.refusing.Store(true) }
 
 // EndCalls ends the calls in flight. Those that are still waiting are refused as not run;
 // the outcome of the others is unknown.
 func (in *Ingress) EndCalls() { in.cancelCalls() }
 
-// errStopping is the cancellation cause of calls that Finish ends.
+// errStopping is the cancellation cause of calls that EndCalls ends.
 var errStopping = errors.New("daemon is stopping")
 
 // Loads returns the upstream loads that owners reported in their recent responses to this
@@ -255,9 +254,9 @@
 const restartRetryAfter = 2 * time.Second
 
 // callContext returns a context that is cancelled at the deadline or when the caller
-// disconnects. It also sets c.localCtx, the context of attempts on this VM, which Finish
-// cancels as well. Attempts on other VMs are not cancelled by Finish directly: they are
-// first voided at their owners.
+// disconnects. It also sets c.localCtx, the context of attempts on this VM, which
+// EndCalls cancels as well. EndCalls does not cancel attempts on other VMs directly: they
+// are first voided at their owners.
 func (in *Ingress) callContext(caller context.Context, c *call) (context.Context, context.CancelFunc) {
 	ctx, end := context.WithDeadline(caller, c.attempt.Deadline)
 	local, cancel := context.WithCancelCause(ctx)
@@ -320,7 +319,7 @@
 // the owner of that upstream sees every copy.
 func (in *Ingress) next(c *call, tried []string) (view.Upstream, outcome.Result, bool) {
 	if c.attempt.Key == "" {
-		n := in.need(c, tried)
+		n := in.criteria(c, tried)
 		if crashCount(in.cfg.Suspects, &c.attempt) > 0 {
 			n.AffinityKey = c.attempt.digest().String()
 		}
@@ -330,12 +329,12 @@
 		// The owner of another upstream would not know of the copies sent to the first.
 		return view.Upstream{}, outcome.Refuse(outcome.ReasonOverload, outcome.MinRetryAfter), false
 	}
-	home := pick.Rendezvous(c.service.Upstreams, c.attempt.Caller+"\x00"+c.attempt.Key)
-	if home == nil {
+	target := pick.Rendezvous(c.service.Upstreams, c.attempt.Caller+"\x00"+c.attempt.Key)
+	if target == nil {
 		return view.Upstream{}, outcome.Refuse(outcome.ReasonNoUpstream, pick.DefaultRetryAfter), false
 	}
-	only := &view.Service{Service: c.service.Service, Upstreams: []view.Upstream{*home}}
-	return in.picker.Pick(only, in.need(c, nil))
+	only := &view.Service{Service: c.service.Service, Upstreams: []view.Upstream{*target}}
+	return in.picker.Pick(only, in.criteria(c, nil))
 }
 
 // pick selects an upstream from the part of the service that this call goes to during a
@@ -378,9 +377,9 @@
 // that sets none.
 const defaultObjectiveDivisor = 4
 
-// need returns what the attempt requires of an upstream, estimated from recent calls of
-// its route. It also sets the attempt's Usual.
-func (in *Ingress) need(c *call, tried []string) pick.Criteria {
+// criteria returns what the attempt requires of an upstream, estimated from recent calls
+// of its route. It also sets the attempt's TypicalLatency.
+func (in *Ingress) criteria(c *call, tried []string) pick.Criteria {
 	objective := c.route.Policy.Objective
 	if objective == 0 {
 		objective = c.route.Policy.Timeout / defaultObjectiveDivisor
--- a/internal/callpath/ledger.go
+++ b/internal/callpath/ledger.go
@@ -18,7 +18,7 @@
 	Waiting State = "waiting"
 	// Started: the request may have been sent to the upstream.
 	Started State = "started"
-	// Finished: the upstream's answer was passed on, or the attempt failed after it had
+	// Finished: the upstream's response was passed on, or the attempt failed after it had
 	// started.
 	Finished State = "finished"
 	// Voided: the attempt has not run and never will.
@@ -27,7 +27,7 @@
 
 const (
 	// entryRetention is how long an entry is kept after its attempt's deadline, to answer
-	// queries about the attempt and to detect copies of the request that arrive late.
+	// inquiries about the attempt and to detect copies of the request that arrive late.
 	entryRetention = time.Minute
 	// keyRetention is how long an idempotency key is remembered after the attempt's
 	// deadline.
@@ -130,8 +130,8 @@
 	}
 }
 
-// ask returns the state of an attempt.
-func (l *ledger) ask(id string) State {
+// state returns the state of an attempt.
+func (l *ledger) state(id string) State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.attempts[id]; e != nil {
--- a/internal/callpath/limits_test.go
+++ b/internal/callpath/limits_test.go
@@ -117,8 +117,8 @@
 }
 
 // TestCallerPathsCannotReachDaemonEndpoints sends calls with the paths of endpoints
-// between daemons. Callers must not be able to query these, or to report admitted calls
-// to a limit coordinator: such a call goes to the upstream like any other.
+// between daemons. Callers must not be able to send inquiries to an owner, or to report
+// admitted calls to a limit coordinator: such a call goes to the upstream like any other.
 func TestCallerPathsCannotReachDaemonEndpoints(t *testing.T) {
 	is := is.New(t)
 	k := newKeyRig(t)
--- a/internal/callpath/log.go
+++ b/internal/callpath/log.go
@@ -105,8 +105,8 @@
 	if since := in.view.Load().Since; !since.IsZero() {
 		e = e.Int64("in_force_ms", in.cfg.Now().Sub(since).Milliseconds())
 	}
-	if stamp := freshness.Timestamp(in.confirmedAt.Load()); stamp > 0 {
-		e = e.Int64("checked_ms", stamp.Age(boottime.Now()).Milliseconds())
+	if confirmed := freshness.Timestamp(in.confirmedAt.Load()); confirmed > 0 {
+		e = e.Int64("checked_ms", confirmed.Age(boottime.Now()).Milliseconds())
 	}
 	return e
 }
--- a/internal/callpath/metrics.go
+++ b/internal/callpath/metrics.go
@@ -15,8 +15,8 @@
 	NotRun   metrics.Counter
 	Unknown  metrics.Counter
 	// Retries counts further attempts, RetryDenied those that a retry budget did not
-	// allow, and FoundRoom the attempts accepted after another owner had refused the call
-	// as full.
+	// allow, and RetriesFoundRoom the attempts accepted after another owner had refused
+	// the call as full.
 	Retries          metrics.Counter
 	RetryDenied      metrics.Counter
 	RetriesFoundRoom metrics.Counter
@@ -28,8 +28,8 @@
 	// owner refused.
 	Started metrics.Counter
 	Refused metrics.Counter
-	// CrashedAttempts counts attempts whose upstream crashed while running them, Ends the crashes
-	// of upstreams.
+	// CrashedAttempts counts attempts whose upstream crashed while running them,
+	// UpstreamCrashes the crashes of upstreams.
 	CrashedAttempts metrics.Counter
 	UpstreamCrashes metrics.Counter
 	// Quarantined counts calls refused because upstreams have crashed while running the
@@ -41,7 +41,8 @@
 	OverLimit  metrics.Counter
 	UnknownKey metrics.Counter
 	Stale      metrics.Counter
-	// Latency is the time from the arrival of a call to its answer, in nanoseconds.
+	// Latency is the time from the arrival of a call until it is answered, in
+	// nanoseconds.
 	Latency metrics.Timer
 }
 
--- a/internal/callpath/nested.go
+++ b/internal/callpath/nested.go
@@ -46,10 +46,10 @@
 	return p, ok
 }
 
-// inheritFromParent marks a call as nested if an upstream of this VM makes it for a request that it is
-// running, and lets the call inherit that request's urgency, flow and repeat mark. With
-// the urgency of its own route, a nested call of a less urgent request could be served
-// before one of a more urgent request.
+// inheritFromParent marks a call as nested if an upstream of this VM makes it for a
+// request that the upstream is running, and lets the call inherit that request's urgency,
+// flow and repeat mark. With the urgency of its own route, a nested call of a less urgent
+// request could be served before one of a more urgent request.
 func (in *Ingress) inheritFromParent(a *Attempt) {
 	if in.cfg.Dialect.ParentRequest == nil || in.owner == nil {
 		return
--- a/internal/callpath/overload_test.go
+++ b/internal/callpath/overload_test.go
@@ -34,8 +34,8 @@
 	// fail at once instead.
 	delay atomic.Int64
 	fail  atomic.Bool
-	// runs counts the requests and now those running at the moment; peak is the maximum
-	// of now.
+	// runs counts the requests and inFlight those that are running; peak is the maximum
+	// of inFlight.
 	runs     atomic.Int64
 	peak     atomic.Int64
 	inFlight atomic.Int64
@@ -60,8 +60,8 @@
 // rigRetryRatio is the number of retries per call that the daemons of a rig may send.
 const rigRetryRatio = 0.1
 
-// newRig starts a rig whose workers have so many slots each and take the service time for
-// a request.
+// newRig starts a rig whose workers have the given number of slots each and take the
+// given service time for a request.
 func newRig(t testing.TB, workers, slots int, service time.Duration) *rig {
 	t.Helper()
 	r := &rig{t: t, method: http.MethodPost, metrics: NewMetrics(metrics.NewRegistry())}
--- a/internal/callpath/owner.go
+++ b/internal/callpath/owner.go
@@ -35,8 +35,8 @@
 	// Suspects is the daemon's table of suspects, shared with the ingress. If nil, the
 	// owner creates its own.
 	Suspects *suspect.Table
-	// LimitCoordinator is the limit coordinator's handler: it answers requests of other daemons
-	// about workspace limits. Nil if this daemon is not a limit coordinator.
+	// LimitCoordinator handles the requests of other daemons about workspace limits. Nil
+	// if this daemon is not a limit coordinator.
 	LimitCoordinator http.Handler
 	Dialect          Dialect
 	Logger           zerolog.Logger
@@ -62,8 +62,8 @@
 	// leaving is set while this daemon drains: attempts from other daemons are refused so
 	// that they are sent elsewhere.
 	leaving atomic.Bool
-	// rolloutActive is set while any rollout is in progress. Answers then carry the time
-	// that the upstream took.
+	// rolloutActive is set while any rollout is in progress. Responses to ingress daemons
+	// then carry the time that the upstream took.
 	rolloutActive atomic.Bool
 	// logLimit limits how many log lines are written about attempts.
 	logLimit lineLimit
--- a/internal/callpath/ownerhttp.go
+++ b/internal/callpath/ownerhttp.go
@@ -17,13 +17,13 @@
 	"github.com/comfreygate/comfreygate/internal/outcome"
 )
 
-// Paths of queries about attempts at the owner's listener.
+// Paths of inquiries about attempts at the owner's listener.
 const (
 	pathVoid    = "/.comfrey/void"
 	pathAttempt = "/.comfrey/attempt"
 )
 
-// Inquiry is a query of an ingress about one of its attempts.
+// Inquiry is the message with which an ingress asks an owner about one of its attempts.
 type Inquiry struct {
 	Attempt     string `json:"attempt"`
 	Incarnation uint64 `json:"inc"`
@@ -31,15 +31,16 @@
 	LeftMs int64 `json:"left_ms"`
 }
 
-// InquiryReply is the answer to a Question.
+// InquiryReply is the owner's reply to an Inquiry.
 type InquiryReply struct {
 	State State `json:"state"`
 }
 
-// maxInquiryBytes is the largest accepted body of a query, in bytes.
+// maxInquiryBytes is the maximum size of the body of an inquiry and of its reply, in
+// bytes.
 const maxInquiryBytes = 4096
 
-// ServeHTTP handles attempts and queries from ingress daemons. An attempt is recognized
+// ServeHTTP handles attempts and inquiries from ingress daemons. An attempt is recognized
 // by its header, whatever its path: the path was chosen by the caller.
 func (o *Owner) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(headerAttempt) != "" {
@@ -48,11 +49,11 @@
 	}
 	switch r.URL.Path {
 	case pathVoid:
-		o.serveQuery(w, r, func(q Inquiry) State {
+		o.serveInquiry(w, r, func(q Inquiry) State {
 			return o.ledger.tryVoid(q.Attempt, o.cfg.Now().Add(time.Duration(q.LeftMs)*time.Millisecond))
 		})
 	case pathAttempt:
-		o.serveQuery(w, r, func(q Inquiry) State { return o.ledger.ask(q.Attempt) })
+		o.serveInquiry(w, r, func(q Inquiry) State { return o.ledger.state(q.Attempt) })
 	case limits.PathReport, limits.PathLeases:
 		if o.cfg.LimitCoordinator == nil {
 			http.NotFound(w, r)
@@ -64,9 +65,9 @@
 	}
 }
 
-// serveQuery answers a query about an attempt. It answers only for this incarnation: an
-// earlier one may have started attempts that this one has no record of.
-func (o *Owner) serveQuery(w http.ResponseWriter, r *http.Request, query func(Inquiry) State) {
+// serveInquiry answers an inquiry about an attempt. It answers only for this incarnation:
+// an earlier incarnation may have started attempts of which this one has no record.
+func (o *Owner) serveInquiry(w http.ResponseWriter, r *http.Request, query func(Inquiry) State) {
 	var q Inquiry
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxInquiryBytes)).Decode(&q)
 	switch {
@@ -207,8 +208,8 @@
 	return a, nil
 }
 
-// endToEndHeaders returns the headers without the Comfrey- headers and without those that apply
-// to one connection only. See RFC 9110, section 7.6.1.
+// endToEndHeaders returns the headers without the Comfrey- headers and without those that
+// apply to one connection only. See RFC 9110, section 7.6.1.
 func endToEndHeaders(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
@@ -238,7 +239,7 @@
 			h[name] = values
 		}
 	}
-	stampClock(h, o.cfg.Events)
+	setClockHeader(h, o.cfg.Events)
 	h.Set(HeaderOutcome, string(r.Outcome))
 	if r.HasLoad {
 		h.Set(headerLoad, r.Load.Encode())
@@ -257,8 +258,8 @@
 	copyBody(w, r.Body)
 }
 
-// copyBody copies an answer's body to w. If the body is truncated, the connection is
-// aborted, so that the receiver cannot mistake a part for the whole.
+// copyBody copies a response's body to w. If the body is truncated, the connection is
+// aborted, so that the receiver cannot mistake a part of the body for all of it.
 func copyBody(w http.ResponseWriter, body io.ReadCloser) {
 	_, err := io.Copy(w, body)
 	closeErr := body.Close()
--- a/internal/callpath/ownerrun.go
+++ b/internal/callpath/ownerrun.go
@@ -17,7 +17,7 @@
 )
 
 // execute admits the attempt, runs it and returns the result. The attempt's slot is held
-// until the answer's body is closed.
+// until the response's body is closed.
 func (o *Owner) execute(ctx context.Context, a *Attempt) outcome.Result {
 	stalls := o.guard.stallCount()
 	loc, refusal := o.accept(a)
@@ -143,8 +143,8 @@
 	return outcome.Result{Outcome: outcome.Answered, Status: res.StatusCode, Header: res.Header, Body: body, Load: load, HasLoad: true, Took: took}
 }
 
-// failed returns the result of a request that got no answer. The request is known not to
-// have run only if no connection could be opened or if it was withheld before anything
+// failed returns the result of a request that got no response. The request is known not
+// to have run only if no connection could be opened or if it was withheld before anything
 // was sent; in all other cases it may have run.
 func (o *Owner) failed(ctx context.Context, loc *localUpstream, a *Attempt, began time.Time, err error) outcome.Result {
 	defer loc.attempts.remove(a)
@@ -214,9 +214,9 @@
 	return req
 }
 
-// idleConnWaitMax is the longest time that taking an idle connection from the pool takes. After a
-// wait no longer than this, the caller's connection is not checked again: it was checked
-// just before.
+// idleConnWaitMax is the longest time that taking an idle connection from the pool takes.
+// After a wait no longer than this, the caller's connection is not checked again: it was
+// checked just before.
 const idleConnWaitMax = time.Millisecond
 
 // recheckBeforeSend is called once the request has a connection, after waiting connWait
@@ -252,9 +252,9 @@
 	return req
 }
 
-// bodyReadEnded is called once with the error that ended the reading of an answer's body.
-// A complete answer may clear its request as a suspect; a broken one may mean that the
-// upstream crashed.
+// bodyReadEnded is called once with the error that ended the reading of a response's
+// body. A complete response may clear its request as a suspect; a truncated one may mean
+// that the upstream crashed.
 func (o *Owner) bodyReadEnded(ctx context.Context, loc *localUpstream, a *Attempt, status int, err error) {
 	switch {
 	case err == io.EOF:
--- a/internal/callpath/pool.go
+++ b/internal/callpath/pool.go
@@ -24,8 +24,8 @@
 	// idleTimeout is how long an idle connection is kept.
 	idleTimeout time.Duration
 	dialect     Dialect
-	// unackedTimeout limits how long sent bytes may stay unacknowledged; zero means the system's
-	// default, which is minutes.
+	// unackedTimeout limits how long sent bytes may stay unacknowledged; zero means the
+	// system's default, which is minutes.
 	unackedTimeout time.Duration
 	// tokens holds one token per open connection; nil if their number is unlimited.
 	tokens chan struct{}
@@ -69,11 +69,11 @@
 
 // withheldReason returns the reason why a request was withheld, and whether it was.
 func withheldReason(err error) (outcome.Reason, bool) {
-	var h *withheldError
-	if !errors.As(err, &h) {
+	var withheld *withheldError
+	if !errors.As(err, &withheld) {
 		return "", false
 	}
-	return h.reason, true
+	return withheld.reason, true
 }
 
 // preSendCheck is called with a request once its connection is available, before any of
@@ -91,8 +91,8 @@
 	return p
 }
 
-// do sends a request and reads the head of the answer. When ctx ends, the request's
-// connection is aborted, even while the answer's body is being read. The caller must
+// do sends a request and reads the head of the response. When ctx ends, the request's
+// connection is aborted, even while the response's body is being read. The caller must
 // close the body.
 func (p *pool) do(ctx context.Context, req *http.Request, check preSendCheck) (*http.Response, error) {
 	began := time.Now()
@@ -148,15 +148,15 @@
 	return errors.Wrap(c.bw.Flush(), "write request")
 }
 
-// receive reads the head of the answer to the request. A deferred body is sent when the
-// other end answers 100 Continue.
+// receive reads the head of the response to the request. A deferred body is sent when the
+// other end responds with 100 Continue.
 func (c *clientConn) receive(req *http.Request, body *deferredBody) (*http.Response, error) {
 	for {
 		res, err := http.ReadResponse(c.br, req)
 		if err != nil {
 			return nil, errors.Wrap(err, "read answer")
 		}
-		// Interim (1xx) answers precede the final one.
+		// Interim (1xx) responses precede the final one.
 		if res.StatusCode < http.StatusOK {
 			if res.StatusCode == http.StatusContinue {
 				body.resolve(true)
@@ -172,12 +172,12 @@
 	}
 }
 
-// maxForeignBytes is the largest body, in bytes, of an answer to another request that is
+// maxForeignBytes is the largest body, in bytes, of a response to another request that is
 // read and discarded.
 const maxForeignBytes = 1 << 20
 
-// skipForeign discards an answer that belongs to an earlier request: the answer to this
-// request follows it, and this request may already be running.
+// skipForeign discards a response that belongs to an earlier request: the response to
+// this request follows it, and this request may already be running.
 func (c *clientConn) skipForeign(res *http.Response) error {
 	c.notReusable = true
 	if res.Close || res.ContentLength > maxForeignBytes {
@@ -281,7 +281,7 @@
 	p.idle = nil
 }
 
-// pooledBody is the body of an answer. Close returns the connection to the pool if the
+// pooledBody is the body of a response. Close returns the connection to the pool if the
 // body was read to its end, and closes it otherwise.
 type pooledBody struct {
 	io.Reader
--- a/internal/callpath/pool_other.go
+++ b/internal/callpath/pool_other.go
@@ -11,5 +11,5 @@
 func stillOpen(net.Conn) bool { return true }
 
 // setUnackedTimeout has no effect on this system: an unresponsive owner is detected
-// later, by a query to it.
+// later, by an inquiry.
 func setUnackedTimeout(net.Conn, time.Duration) error { return nil }
--- a/internal/callpath/remote.go
+++ b/internal/callpath/remote.go
@@ -59,8 +59,8 @@
 	suspects *suspect.Table
 	// callsCtx is cancelled when attempts must end because the process is about to exit.
 	callsCtx context.Context
-	// inquiryTransport opens a new connection for each inquiry, so that a silent one cannot delay
-	// it.
+	// inquiryTransport opens a new connection for each inquiry, so that a silent one
+	// cannot delay it.
 	inquiryTransport *http.Transport
 
 	mu     sync.Mutex
@@ -157,7 +157,7 @@
 	if len(a.Body) >= outcome.LongBody {
 		h.Set("Expect", expectContinue)
 	}
-	stampClock(h, r.events)
+	setClockHeader(h, r.events)
 	return req
 }
 
@@ -238,12 +238,12 @@
 		go r.voidAfterAnswer(context.WithoutCancel(ctx), u, a)
 		return lostConnection(outcome.CancelReason(ctx), err)
 	}
-	state, askErr := r.inquire(context.WithoutCancel(ctx), pathVoid, u, a)
-	if askErr == nil && state == Voided {
+	state, inquiryErr := r.inquire(context.WithoutCancel(ctx), pathVoid, u, a)
+	if inquiryErr == nil && state == Voided {
 		return r.voidedResult(err)
 	}
 	out := lostConnection(outcome.ReasonBroken, err)
-	out.OwnerDown = askErr != nil
+	out.OwnerDown = inquiryErr != nil
 	return out
 }
 
@@ -258,10 +258,10 @@
 // unsentResult returns the result of an attempt of which nothing was sent. False: err
 // does not prove that.
 func unsentResult(ctx context.Context, err error) (outcome.Result, bool) {
-	reason, wasHeldBack := withheldReason(err)
+	reason, withheld := withheldReason(err)
 	out := outcome.Refuse(reason, outcome.MinRetryAfter)
 	out.Err = err
-	if wasHeldBack {
+	if withheld {
 		return out, true
 	}
 	if !notSent(err) {
@@ -318,8 +318,8 @@
 	}
 }
 
-// inquiryLatencyFactor is the multiple of the usual latency after which an attempt's
-// owner is asked about it. Each inquiry opens a connection. At twice the usual latency
+// inquiryLatencyFactor is the multiple of the typical latency after which an attempt's
+// owner is asked about it. Each inquiry opens a connection. At twice the typical latency
 // few ordinary calls cause one, and a silent connection is still detected within the
 // objective of a route whose calls usually meet it.
 const inquiryLatencyFactor = 2
@@ -331,8 +331,10 @@
 
 // monitorAttempt asks the owner over new connections whether it is working on an attempt
 // that has had no response, and cancels the attempt if its connection turns out to be
-// silent. If the owner cannot be asked, a repeatable call is better sent elsewhere; one
-// that is not repeatable gains nothing by that, and its response may still arrive.
+// silent. If the owner cannot be asked, a repeatable call is better sent elsewhere; a
+// call that is not repeatable gains nothing by that, and its response may still arrive. A
+// repeatable attempt that has finished at the owner but whose response does not arrive is
+// treated as if the owner could not be asked.
 func (r *remote) monitorAttempt(ctx context.Context, cancel context.CancelCauseFunc, u view.Upstream, a *Attempt, interval time.Duration) {
 	failed := 0
 	for failed < maxFailedInquiries && ctx.Err() == nil {
--- a/internal/callpath/retry.go
+++ b/internal/callpath/retry.go
@@ -36,8 +36,8 @@
 	b.tokens[service] = min(b.burst, have+tokens)
 }
 
-// charge deducts an attempt that counts as a retry but is sent in any case. The balance
-// may become negative; it must be earned back before the next retry.
+// charge deducts a token for an attempt that counts as a retry but is sent in any case.
+// The balance may become negative; it must be earned back before the next retry.
 func (b *budget) charge(service string) { b.add(service, -1) }
 
 // spend takes one token and reports whether a retry to the service may be sent.
--- a/internal/callpath/retry_test.go
+++ b/internal/callpath/retry_test.go
@@ -45,9 +45,9 @@
 	is.Equal(refused.exhausted(refusal).RetryAfter, 60*time.Millisecond)
 }
 
-// TestRefusalAfterAnUnknownAttemptStaysUnknown covers a repeatable call that was cut off
-// at one upstream and then refused by the owner of the next. It may have run, but was
-// reported to its caller as not run.
+// TestRefusalAfterAnUnknownAttemptStaysUnknown covers a repeatable call whose first
+// upstream crashed and that was then refused by the owner of the next. The call may have
+// run, but was reported to its caller as not run.
 func TestRefusalAfterAnUnknownAttemptStaysUnknown(t *testing.T) {
 	is := is.New(t)
 	var calls callAttempts
--- a/internal/callpath/runningattempts.go
+++ b/internal/callpath/runningattempts.go
@@ -32,15 +32,15 @@
 	return ""
 }
 
-// conflict returns the reason why the attempts that are running keep out the given one,
-// or "". The caller must hold r.mu.
+// conflict returns the reason why the given attempt must not run beside those that are
+// running, or "". The caller must hold r.mu.
 func (r *runningAttempts) conflict(t *suspect.Table, a *Attempt) (reason outcome.Reason) {
 	crashes := crashCount(t, a)
 	if crashes == 0 {
 		return ""
 	}
 	for other := range r.attempts {
-		d := other.sum()
+		d := other.computeDigest()
 		if d == a.digest() {
 			return outcome.ReasonSuspectRunning
 		}
@@ -57,10 +57,10 @@
 	delete(r.attempts, a)
 }
 
-// culprit returns the request to which a crash under all these attempts is attributed:
-// the one with the most recorded crashes, provided that it is one crash short of
-// quarantine or beyond, and that no other running request has as many. Otherwise it
-// returns zero: the crash is evidence against no particular request.
+// culprit returns the request to which a crash of the upstream that is running these
+// attempts is attributed: the one with the most recorded crashes, provided that it is one
+// crash short of quarantine or beyond, and that no other running request has as many.
+// Otherwise it returns zero: the crash is evidence against no particular request.
 func (r *runningAttempts) culprit(t *suspect.Table) suspect.Digest {
 	if !t.Any() {
 		return 0
@@ -86,7 +86,7 @@
 	defer r.mu.Unlock()
 	var out []suspect.Digest
 	for a := range r.attempts {
-		out = append(out, a.sum())
+		out = append(out, a.computeDigest())
 	}
 	return out
 }
--- a/internal/callpath/stall.go
+++ b/internal/callpath/stall.go
@@ -51,7 +51,7 @@
 }
 
 // stallCount returns the number of stalls so far. If it changes while an attempt waits,
-// the attempt must not start: its caller may already have got an answer, since the clock
+// the attempt must not start: its caller may already have got a response, since the clock
 // by which its deadline is checked may have stood still.
 func (g *stallGuard) stallCount() int64 {
 	g.stalled()
--- a/internal/callpath/stop_test.go
+++ b/internal/callpath/stop_test.go
@@ -12,10 +12,10 @@
 	"github.com/comfreygate/comfreygate/internal/outcome"
 )
 
-// TestFinishRefusesQueuedAttemptsAsNotRun stops a daemon's calls while one is running and
+// TestEndCallsRefusesQueuedAttemptsAsNotRun stops a daemon's calls while one is running and
 // one is waiting for the slot. The waiting one must be reported as not run rather than
 // dropped; the outcome of the running one is unknown.
-func TestFinishRefusesQueuedAttemptsAsNotRun(t *testing.T) {
+func TestEndCallsRefusesQueuedAttemptsAsNotRun(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 1, 1, 5*time.Second)
 	outcomes := make(chan string, 2)
@@ -47,10 +47,10 @@
 	is.Equal(r.workers[0].runs.Load(), int64(0))
 }
 
-// TestFinishDoesNotWaitForUnreachableOwner covers a running attempt whose owner cannot be
-// queried any more, for example because the link drops packets. Its caller must be
-// answered within the time that a stopping process has for its last answers.
-func TestFinishDoesNotWaitForUnreachableOwner(t *testing.T) {
+// TestEndCallsDoesNotWaitForUnreachableOwner covers a running attempt whose owner does
+// not answer inquiries any more, for example because the link drops packets. Its caller
+// must be answered within the time that a stopping process has for its last answers.
+func TestEndCallsDoesNotWaitForUnreachableOwner(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 1, 1, 5*time.Second)
 	got := make(chan string, 1)
@@ -58,7 +58,7 @@
 	for r.workers[0].owner.InFlight() < 1 {
 		time.Sleep(time.Millisecond)
 	}
-	// Queries to the owner get no connection until they time out.
+	// Inquiries to the owner get no connection until they time out.
 	r.ingress.remote.inquiryTransport.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
--- a/internal/callpath/suspects.go
+++ b/internal/callpath/suspects.go
@@ -9,17 +9,18 @@
 	"github.com/comfreygate/comfreygate/internal/suspect"
 )
 
-// Containment of poison requests, which crash the upstreams that run them: all copies of a
-// request count as one request, wherever they enter and under whatever ID. When an upstream
-// crashes, the requests that were running there become suspects; an answer clears a suspect.
-// All copies of a suspect are sent to the same upstream and run there one at a time, so that
-// copies sent at the same time crash one upstream and not several. A suspect with two
-// crashes runs beside no other suspect, so that the third crash identifies the poison
-// request. A request with three crashes is quarantined: it is refused.
+// Containment of poison requests, which crash the upstreams that run them: all copies of
+// a request count as one request, wherever they enter and under whatever ID. When an
+// upstream crashes, the requests that were running there become suspects; a response
+// clears a suspect, unless it has a 5xx status. All copies of a suspect are sent to the
+// same upstream and run there one at a time, so that copies sent at the same time crash
+// one upstream and not several. A suspect with two crashes runs beside no other suspect,
+// so that the third crash identifies the poison request. A request with three crashes is
+// quarantined: it is refused.
 
 // quarantineSettleTime is the age from which a quarantine is considered settled. Before
-// that, a quarantine that hit a harmless request may still be lifted by the answer of a
-// copy that was already running.
+// that, a quarantine that hit a harmless request may still be cleared by the response to
+// a copy that was already running.
 const quarantineSettleTime = time.Second
 
 // quarantined reports whether an attempt's request is quarantined, and the refusal to
@@ -76,9 +77,10 @@
 
 // recordCrash records that an upstream crashed while it ran the attempt. Only the culprit
 // of the crash can be moved into quarantine by it; otherwise requests that run beside a
-// poison request would be quarantined too. A request that was answered here recently is
-// not charged with its first crash since that answer: popular requests run at most
-// upstreams at any time and would be quarantined whenever three upstreams crash at once.
+// poison request would be quarantined too. The first crash of a request after it was
+// answered here is not recorded for it if that answer is recent: popular requests are
+// running at nearly every upstream at any time and would be quarantined whenever three
+// upstreams crash at once.
 func (o *Owner) recordCrash(a *Attempt, c crash) {
 	t, d := o.cfg.Suspects, a.digest()
 	if t.CrashCount(d) >= isolationThreshold && d != c.culprit || o.recent.ExemptOnce(d) {
@@ -87,11 +89,11 @@
 	t.RecordCrash(d, suspect.NewCrashID(a.Upstream, o.cfg.Incarnation, c.n))
 }
 
-// ClearIfAnswered clears a request that has just been quarantined if an upstream here answered it
-// recently: if all upstreams that were running it crash at once, none is left to clear it
-// by an answer. A request is cleared this way only once until its next answer; otherwise
-// one that has become poisonous could crash three more upstreams for each daemon that
-// answered it before.
+// ClearIfAnswered clears a request that has just been quarantined if an upstream here
+// answered it recently: if all upstreams that were running it crash at once, none is left
+// whose response could clear it. A request is cleared this way only once until it is
+// answered again; otherwise a request that has become poisonous could crash three more
+// upstreams for each daemon that answered it before.
 func (o *Owner) ClearIfAnswered(r suspect.Record) {
 	if r.Quarantined() && !r.ClearedUnanswered && o.recent.Has(r.Digest) {
 		o.cfg.Suspects.ClearUnanswered(r.Digest)
@@ -126,8 +128,8 @@
 	}
 }
 
-// mergeSuspectHeader merges the suspect record that tellSuspect put into the headers. A record
-// that cannot be decoded is ignored.
+// mergeSuspectHeader merges the suspect record that setSuspectHeader put into the
+// headers. A record that cannot be decoded is ignored.
 func mergeSuspectHeader(h http.Header, t *suspect.Table) {
 	var rec suspect.Record
 	if text := h.Get(headerSuspect); text != "" && json.Unmarshal([]byte(text), &rec) == nil {
--- a/internal/callpath/suspects_test.go
+++ b/internal/callpath/suspects_test.go
@@ -152,9 +152,9 @@
 	is.Equal(rs.tryAdd(tab, attempt("/b", 0)), outcome.Reason(""))
 }
 
-// TestCrashIsAttributedToSuspectNearQuarantine: a crash under a suspect that is at least
-// one crash short of quarantine must not bring the requests that ran beside it into
-// quarantine.
+// TestCrashIsAttributedToSuspectNearQuarantine: a crash that is attributed to a suspect
+// one crash short of quarantine, or beyond, must not bring the requests that ran beside
+// it into quarantine.
 func TestCrashIsAttributedToSuspectNearQuarantine(t *testing.T) {
 	is := is.New(t)
 	tab := suspect.NewTable(time.Now)
@@ -215,9 +215,9 @@
 	is.Equal(tab.CrashCount(a.digest()), suspect.QuarantineThreshold)
 }
 
-// TestCrashUnderTwoSuspectsQuarantinesNeither: crashes under two suspects with equally
-// many crashes cannot be attributed to one of them, so neither may be quarantined. From
-// then on they must not run together.
+// TestCrashUnderTwoSuspectsQuarantinesNeither: crashes of an upstream that was running
+// two suspects with equally many crashes cannot be attributed to one of them, so neither
+// may be quarantined. From then on they must not run together.
 func TestCrashUnderTwoSuspectsQuarantinesNeither(t *testing.T) {
 	is := is.New(t)
 	tab := suspect.NewTable(time.Now)
--- a/internal/callpath/transit.go
+++ b/internal/callpath/transit.go
@@ -8,7 +8,7 @@
 const (
 	// transitWindow is the minimum time for which the shortest delay of a sender's
 	// messages serves as the baseline. The clocks of two VMs drift apart by at most 0.1
-	// ms per second, which over this time stays below the margin before a deadline.
+	// ms per second, which over this time stays below admission.AnswerMargin.
 	transitWindow = 30 * time.Second
 	// transitSenders is the maximum number of senders remembered: twice the number of
 	// daemons at the design size, because each restart of a daemon adds a sender.
@@ -19,7 +19,7 @@
 // from the same sender. The clocks of two VMs cannot be compared, but their offset is the
 // same from one message to the next: any delay beyond the shortest was spent in queues.
 // An attempt that was queued for longer than the time it had left is refused instead of
-// run for a caller that has gone. transit is safe for concurrent use.
+// run for a caller that has given up. transit is safe for concurrent use.
 type transit struct {
 	mu      sync.Mutex
 	senders map[string]*minTransit
@@ -69,7 +69,7 @@
 }
 
 // expire removes the senders whose last window started at least two windows ago, or all
-// senders if there is none such.
+// senders if there is no such sender.
 func (t *transit) expire(now time.Duration) {
 	before := len(t.senders)
 	for sender, f := range t.senders {
--- a/internal/callpath/transit_test.go
+++ b/internal/callpath/transit_test.go
@@ -16,7 +16,7 @@
 
 // TestTransitDelayShortensTheTimeLeft sends an attempt that was queued on a slow link.
 // Without the deduction, an attempt sent with 297 ms left arrived 0.68 s later, and its
-// upstream ran it 0.53 s after the caller had gone.
+// upstream ran it 0.53 s after the caller had given up.
 func TestTransitDelayShortensTheTimeLeft(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 1, 1, time.Millisecond)
--- a/internal/callpath/unsent_test.go
+++ b/internal/callpath/unsent_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// callerThatLeaves returns the context of a request whose caller closes its connection
-// when leave is called, without the HTTP server noticing.
-func callerThatLeaves(t *testing.T) (ctx context.Context, leave func()) {
+// disconnectingCaller returns the context of a request whose caller closes its connection
+// when disconnect is called, without the HTTP server noticing.
+func disconnectingCaller(t *testing.T) (ctx context.Context, leave func()) {
 	client, server := connPair(t)
 	return WithConn(context.Background(), server), func() {
 		client.Close()
@@ -52,9 +52,9 @@
 }
 
 // TestAttemptIsCheckedAgainAfterASlowUpstreamDial lets attempts that hold a slot wait for
-// a connection to their upstream until their caller has gone or their deadline has
-// passed. They must not start then: nested calls whose callers had given up ran more than
-// half a second later.
+// a connection to their upstream until their caller has disconnected or their deadline
+// has passed. They must not start then: nested calls whose callers had given up ran more
+// than half a second later.
 func TestAttemptIsCheckedAgainAfterASlowUpstreamDial(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 1, 1, time.Millisecond)
@@ -65,7 +65,7 @@
 		p.dialer = slowDialer(wait)
 	}
 
-	ctx, leave := callerThatLeaves(t)
+	ctx, leave := disconnectingCaller(t)
 	connect(func() {
 		leave()
 		time.Sleep(2 * idleConnWaitMax)
@@ -80,8 +80,8 @@
 	is.Equal(late.Reason, outcome.ReasonDeadline)
 
 	is.Equal(w.runs.Load(), int64(0))
-	is.Equal(w.owner.ledger.ask("gone"), Voided)
-	is.Equal(w.owner.ledger.ask("late"), Voided)
+	is.Equal(w.owner.ledger.state("gone"), Voided)
+	is.Equal(w.owner.ledger.state("late"), Voided)
 	is.Equal(w.owner.InFlight(), 0) // the slots were released
 }
 
@@ -102,16 +102,16 @@
 
 // TestAttemptIsCheckedAgainAfterASlowOwnerDial lets attempts wait for a connection to
 // their owner. The time left must be taken when the attempt is sent, less the expected
-// delay on the way, and nothing may be sent for callers that have gone. The first attempt
-// from a daemon was queued on its way for a time that its owner could not know of, and
-// ran half a second after its deadline.
+// delay on the way, and nothing may be sent for callers that have disconnected. The first
+// attempt from a daemon was queued on its way for a time that its owner could not know
+// of, and ran half a second after its deadline.
 func TestAttemptIsCheckedAgainAfterASlowOwnerDial(t *testing.T) {
 	is := is.New(t)
 	stub := &ownerStub{}
 	srv := httptest.NewServer(stub)
 	defer srv.Close()
 	u := view.Upstream{ID: "u", Owner: srv.Listener.Addr().String(), Incarnation: 1}
-	carry := func(ctx context.Context, a *Attempt, wait func()) outcome.Result {
+	send := func(ctx context.Context, a *Attempt, wait func()) outcome.Result {
 		r := newRemote(slowDialer(wait), time.Minute, event.NewRing("vm", event.NewClock(time.Now), 8), NewMetrics(metrics.NewRegistry()))
 		r.callsCtx, r.suspects = context.Background(), suspect.NewTable(time.Now)
 		r.onOwnerUnreachable = func(view.Upstream) {}
@@ -123,26 +123,26 @@
 	}
 	const slow = 100 * time.Millisecond
 	wait := func() { time.Sleep(slow) }
-	there := carry(context.Background(), waitingAttempt("l-1", "u", time.Now().Add(time.Second)), wait)
+	there := send(context.Background(), waitingAttempt("l-1", "u", time.Now().Add(time.Second)), wait)
 	is.Equal(there.Outcome, outcome.Answered)
 	is.True(stub.left[0] <= time.Second-2*slow) // the wait, and the same again for the way
 
-	far := carry(context.Background(), waitingAttempt("l-2", "u", time.Now().Add(slow+slow/2)), wait)
+	far := send(context.Background(), waitingAttempt("l-2", "u", time.Now().Add(slow+slow/2)), wait)
 	is.Equal(far.Outcome, outcome.NotRun)
 	is.Equal(far.Reason, outcome.ReasonUnreachable) // there is time to try another owner
 	is.True(!far.OwnerDown)
-	late := carry(context.Background(), waitingAttempt("l-5", "u", time.Now().Add(slow/2)), wait)
+	late := send(context.Background(), waitingAttempt("l-5", "u", time.Now().Add(slow/2)), wait)
 	is.Equal(late.Outcome, outcome.NotRun)
 	is.Equal(late.Reason, outcome.ReasonDeadline)
 
-	ctx, leave := callerThatLeaves(t)
-	gone := carry(ctx, waitingAttempt("l-3", "u", time.Now().Add(time.Minute)), leave)
+	ctx, leave := disconnectingCaller(t)
+	gone := send(ctx, waitingAttempt("l-3", "u", time.Now().Add(time.Minute)), leave)
 	is.Equal(gone.Outcome, outcome.NotRun)
 	is.Equal(gone.Reason, outcome.ReasonCancelled)
 
 	ended, end := context.WithTimeout(context.Background(), slow/2)
 	defer end()
-	unsent := carry(ended, waitingAttempt("l-4", "u", time.Now().Add(slow/2)), wait)
+	unsent := send(ended, waitingAttempt("l-4", "u", time.Now().Add(slow/2)), wait)
 	is.Equal(unsent.Outcome, outcome.NotRun) // it was never sent, so the caller may retry
 	is.Equal(unsent.Reason, outcome.ReasonDeadline)
 	is.Equal(len(stub.left), 1)
--- a/internal/callpath/workspace.go
+++ b/internal/callpath/workspace.go
@@ -9,8 +9,8 @@
 )
 
 // staleRetryAfter is the retry-after for a call that needs a key while the configuration
-// is too old to tell which keys are valid. By then the store or a neighbour has been
-// asked again.
+// is too old to tell which keys are valid. By then the store or a neighbour in the
+// distribution tree has been asked again.
 const staleRetryAfter = 500 * time.Millisecond
 
 // workspace returns the workspace whose key the request presents, or nil if the route
