--- a/internal/callpath/buffer.go
+++ b/internal/callpath/buffer.go
@@ -10,12 +10,12 @@
 	"github.com/comfreygate/comfreygate/internal/outcome"
 )
 
-// maxBufferedAnswer is the size in bytes up to which a response is buffered completely
-// before the caller receives any of it. A response of at most this size that is truncated
-// can be retried at another upstream; longer ones are streamed.
+// maxBufferedAnswer is the size in bytes below which a response is buffered completely
+// before the caller receives any of it. A shorter response that is truncated can be
+// retried at another upstream; others are streamed.
 const maxBufferedAnswer = 1 << 20
 
-// bufferAnswer reads a response into memory, unless it is longer than maxBufferedAnswer.
+// bufferAnswer reads a response into memory, unless it has maxBufferedAnswer bytes or more.
 // A truncated response becomes an unknown outcome. The returned size is the number of
 // bytes read.
 func bufferAnswer(ctx context.Context, r outcome.Result) (outcome.Result, int) {
--- a/internal/callpath/deferredbody.go
+++ b/internal/callpath/deferredbody.go
@@ -31,34 +31,34 @@
 	if req.Header.Get("Expect") != expectContinue {
 		return nil
 	}
-	h := &deferredBody{ReadCloser: req.Body, flush: flush, resolved: make(chan struct{})}
-	req.Body = h
-	return h
+	d := &deferredBody{ReadCloser: req.Body, flush: flush, resolved: make(chan struct{})}
+	req.Body = d
+	return d
 }
 
 // resolve releases the body to be sent, or aborts its sending. Only the first call has an
 // effect.
-func (h *deferredBody) resolve(accepted bool) {
-	if h == nil {
+func (d *deferredBody) resolve(accepted bool) {
+	if d == nil {
 		return
 	}
-	h.once.Do(func() {
-		h.accepted = accepted
-		close(h.resolved)
+	d.once.Do(func() {
+		d.accepted = accepted
+		close(d.resolved)
 	})
 }
 
 // Read implements io.Reader.
-func (h *deferredBody) Read(b []byte) (int, error) {
-	if !h.started {
-		h.started = true
-		if err := h.flush(); err != nil {
+func (d *deferredBody) Read(b []byte) (int, error) {
+	if !d.started {
+		d.started = true
+		if err := d.flush(); err != nil {
 			return 0, err
 		}
-		<-h.resolved
+		<-d.resolved
 	}
-	if !h.accepted {
+	if !d.accepted {
 		return 0, errBodyRefused
 	}
-	return h.ReadCloser.Read(b)
+	return d.ReadCloser.Read(b)
 }
--- a/internal/callpath/dialect.go
+++ b/internal/callpath/dialect.go
@@ -61,9 +61,9 @@
 
 // waitFraction returns a number from 0 to 1 that is derived from the ID of the root
 // request: it is the same for all calls, at any depth, that are made for one caller's
-// request, and independent between requests. A gate lets a nested call wait for this
-// fraction of the allowed time, so that the nested calls of one request are refused
-// together or not at all.
+// request, and independent between requests. A gate lets a nested call without
+// priority wait for this fraction of the allowed time, so that such calls of one request
+// are refused together or not at all.
 func (d Dialect) waitFraction(request string) float64 {
 	if d.ParentRequest != nil {
 		for parent := d.ParentRequest(request); parent != ""; parent = d.ParentRequest(request) {
--- a/internal/callpath/ingress.go
+++ b/internal/callpath/ingress.go
@@ -50,7 +50,9 @@
 	// MaxConfigAge is the maximum age of a configuration at which calls are still
 	// admitted by workspace key. Zero: any age.
 	MaxConfigAge time.Duration
-	RetryBurst   float64
+	// RetryBurst is the maximum number of unused retries to a service that this daemon
+	// accumulates.
+	RetryBurst float64
 	// CrossDomainCost is the cost of sending a megabyte between failure domains, as a
 	// multiple of the value of a call.
 	CrossDomainCost float64
@@ -94,7 +96,8 @@
 	// lastDirectCall is when the last call that is not nested arrived, in Unix
 	// nanoseconds.
 	lastDirectCall atomic.Int64
-	leaving        atomic.Bool
+	// leaving is set once responses close their connections.
+	leaving atomic.Bool
 	// refusing is set once all new calls except nested ones are refused.
 	refusing atomic.Bool
 	// callsCtx is cancelled when the calls in flight must end because the process is
@@ -165,7 +168,7 @@
 }
 
 // CloseConnections makes responses close their connections, so that callers open their
-// next ones to other daemons.
+// next connections to other daemons.
 func (in *Ingress) CloseConnections() { in.leaving.Store(true) }
 
 // RefuseNewCalls makes the ingress refuse every new call as not run, because the process
@@ -319,11 +322,11 @@
 // the owner of that upstream sees every copy.
 func (in *Ingress) next(c *call, tried []string) (view.Upstream, outcome.Result, bool) {
 	if c.attempt.Key == "" {
-		n := in.criteria(c, tried)
+		criteria := in.criteria(c, tried)
 		if crashCount(in.cfg.Suspects, &c.attempt) > 0 {
-			n.AffinityKey = c.attempt.digest().String()
+			criteria.AffinityKey = c.attempt.digest().String()
 		}
-		return in.pick(c, n)
+		return in.pick(c, criteria)
 	}
 	if len(tried) > 0 {
 		// The owner of another upstream would not know of the copies sent to the first.
@@ -340,22 +343,22 @@
 // pick selects an upstream from the part of the service that this call goes to during a
 // rollout. Only a first attempt may go to the new version, so that a call fails because
 // of it at most once.
-func (in *Ingress) pick(c *call, n pick.Criteria) (view.Upstream, outcome.Result, bool) {
+func (in *Ingress) pick(c *call, criteria pick.Criteria) (view.Upstream, outcome.Result, bool) {
 	split := c.service.Split
 	if split == nil {
-		return in.picker.Pick(c.service, n)
+		return in.picker.Pick(c.service, criteria)
 	}
 	now := in.cfg.Now()
-	if len(n.Tried) == 0 {
+	if len(criteria.Tried) == 0 {
 		if trial := split.Trial(now); trial != nil {
-			if u, refusal, ok := in.picker.Pick(trial, n); ok {
+			if u, refusal, ok := in.picker.Pick(trial, criteria); ok {
 				return u, refusal, ok
 			}
 		}
 	}
-	u, refusal, ok := in.picker.Pick(c.service, n)
+	u, refusal, ok := in.picker.Pick(c.service, criteria)
 	if fallback := split.Fallback(now); !ok && fallback != nil {
-		return in.picker.Pick(fallback, n)
+		return in.picker.Pick(fallback, criteria)
 	}
 	return u, refusal, ok
 }
@@ -384,10 +387,10 @@
 	if objective == 0 {
 		objective = c.route.Policy.Timeout / defaultObjectiveDivisor
 	}
-	n := pick.Criteria{Urgency: c.attempt.Urgency, Objective: objective, Body: len(c.attempt.Body), Tried: tried}
-	n.Bytes, n.Took = in.picker.Expect(c.route.Name, len(c.attempt.Body), objective)
-	c.attempt.TypicalLatency = n.Took
-	return n
+	criteria := pick.Criteria{Urgency: c.attempt.Urgency, Objective: objective, Body: len(c.attempt.Body), Tried: tried}
+	criteria.Bytes, criteria.Took = in.picker.Expect(c.route.Name, len(c.attempt.Body), objective)
+	c.attempt.TypicalLatency = criteria.Took
+	return criteria
 }
 
 // try makes one attempt at the upstream.
--- a/internal/callpath/ownerhttp.go
+++ b/internal/callpath/ownerhttp.go
@@ -67,7 +67,7 @@
 
 // serveInquiry answers an inquiry about an attempt. It answers only for this incarnation:
 // an earlier incarnation may have started attempts of which this one has no record.
-func (o *Owner) serveInquiry(w http.ResponseWriter, r *http.Request, query func(Inquiry) State) {
+func (o *Owner) serveInquiry(w http.ResponseWriter, r *http.Request, state func(Inquiry) State) {
 	var q Inquiry
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxInquiryBytes)).Decode(&q)
 	switch {
@@ -79,7 +79,7 @@
 		w.Header().Set("Content-Type", "application/json")
 		// If this fails, the ingress has disconnected; it treats the attempt's outcome as
 		// unknown.
-		_ = json.NewEncoder(w).Encode(InquiryReply{State: query(q)})
+		_ = json.NewEncoder(w).Encode(InquiryReply{State: state(q)})
 	}
 }
 
--- a/internal/callpath/ownerrun.go
+++ b/internal/callpath/ownerrun.go
@@ -196,7 +196,7 @@
 	o.cfg.Logger.Info().Str("step", "run").Str("request", a.Request).Stringer("digest", a.digest()).Str("peer", a.Upstream).
 		Str("outcome", string(outcome.Unknown)).Str("reason", string(reason)).Int64("took_ms", o.cfg.Now().Sub(began).Milliseconds()).
 		Int64("left_ms", a.Deadline.Sub(o.cfg.Now()).Milliseconds()).Int("in_flight", l.InFlight).Int("queued", l.Queued).
-		Err(err).Msg("attempt ended without an answer")
+		Err(err).Msg("attempt ended without a response")
 }
 
 func (o *Owner) upstreamRequest(loc *localUpstream, a *Attempt) *http.Request {
--- a/internal/callpath/pool.go
+++ b/internal/callpath/pool.go
@@ -154,7 +154,7 @@
 	for {
 		res, err := http.ReadResponse(c.br, req)
 		if err != nil {
-			return nil, errors.Wrap(err, "read answer")
+			return nil, errors.Wrap(err, "read response")
 		}
 		// Interim (1xx) responses precede the final one.
 		if res.StatusCode < http.StatusOK {
@@ -181,10 +181,10 @@
 func (c *clientConn) skipForeign(res *http.Response) error {
 	c.notReusable = true
 	if res.Close || res.ContentLength > maxForeignBytes {
-		return errors.New("cannot skip answer to another request: it is too long or closes the connection")
+		return errors.New("cannot skip response to another request: it is too long or closes the connection")
 	}
 	_, err := io.Copy(io.Discard, res.Body)
-	return errors.Wrap(err, "skip answer to another request")
+	return errors.Wrap(err, "skip response to another request")
 }
 
 // get returns an idle connection that is still open, or a new one.
--- a/internal/callpath/remote.go
+++ b/internal/callpath/remote.go
@@ -42,7 +42,10 @@
 )
 
 var (
+	// errSilent is the cancellation cause of an attempt whose connection delivers nothing
+	// and whose owner is not working on it or does not answer inquiries.
 	errSilent = errors.New("connection is silent")
+	// errVoided is the cancellation cause of an attempt that its owner has voided.
 	errVoided = errors.New("attempt voided by its owner")
 )
 
@@ -384,11 +387,11 @@
 	}
 	res, err := r.inquiryTransport.RoundTrip(req)
 	if err != nil {
-		return "", errors.Wrapf(err, "query owner %s", u.Daemon)
+		return "", errors.Wrapf(err, "inquire at owner %s", u.Daemon)
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return "", errors.Errorf("query owner %s: want status 200 OK, got %s", u.Daemon, res.Status)
+		return "", errors.Errorf("inquire at owner %s: want status 200 OK, got %s", u.Daemon, res.Status)
 	}
 	var reply InquiryReply
 	err = json.NewDecoder(io.LimitReader(res.Body, maxInquiryBytes)).Decode(&reply)
--- a/internal/callpath/remote_test.go
+++ b/internal/callpath/remote_test.go
@@ -28,12 +28,12 @@
 // could not be repeated was reported as unknown while its upstream was still working on
 // it.
 func TestFailedInquiriesCancelOnlyRepeatableAttempts(t *testing.T) {
-	nobody, err := net.Listen("tcp", "127.0.0.1:0")
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody.Close() // inquiries are refused immediately
-	u := view.Upstream{Owner: nobody.Addr().String()}
+	closed.Close() // inquiries are refused immediately
+	u := view.Upstream{Owner: closed.Addr().String()}
 	for _, repeatable := range []bool{true, false} {
 		is := is.New(t)
 		r := newRemote(&net.Dialer{}, time.Millisecond, event.NewRing("vm", event.NewClock(time.Now), 8), NewMetrics(metrics.NewRegistry()))
--- a/internal/callpath/retry_test.go
+++ b/internal/callpath/retry_test.go
@@ -39,8 +39,8 @@
 func TestExhaustedCallHasTheLongestRetryAfter(t *testing.T) {
 	is := is.New(t)
 	refusal := outcome.Refuse(outcome.ReasonOverload, 25*time.Millisecond)
-	var nobody callAttempts
-	is.Equal(nobody.exhausted(refusal), refusal)
+	var untried callAttempts
+	is.Equal(untried.exhausted(refusal), refusal)
 	refused := callAttempts{upstreams: []string{"a0"}, last: outcome.Refuse(outcome.ReasonOverload, 60*time.Millisecond)}
 	is.Equal(refused.exhausted(refusal).RetryAfter, 60*time.Millisecond)
 }
--- a/internal/callpath/suspects_test.go
+++ b/internal/callpath/suspects_test.go
@@ -95,8 +95,8 @@
 	r := newRig(t, 1, 4, time.Millisecond)
 	w := r.workers[0]
 	a := Attempt{Caller: "c", Method: http.MethodGet, URL: mustURL(t, "/normal?x=1"), AnyHost: true}
-	for end := range suspect.QuarantineThreshold {
-		w.owner.cfg.Suspects.RecordCrash(a.digest(), suspect.CrashID(end+1))
+	for n := range suspect.QuarantineThreshold {
+		w.owner.cfg.Suspects.RecordCrash(a.digest(), suspect.CrashID(n+1))
 	}
 	reason, _ := r.get("/normal?x=1")
 	is.Equal(reason, string(outcome.ReasonQuarantined))
@@ -135,8 +135,8 @@
 	tab := suspect.NewTable(time.Now)
 	attempt := func(path string, crashes int) *Attempt {
 		a := &Attempt{Method: http.MethodGet, URL: mustURL(t, path)}
-		for e := range crashes {
-			tab.RecordCrash(a.digest(), suspect.CrashID(e+1))
+		for n := range crashes {
+			tab.RecordCrash(a.digest(), suspect.CrashID(n+1))
 		}
 		return a
 	}
@@ -168,24 +168,24 @@
 	for _, a := range all {
 		is.Equal(rs.tryAdd(tab, a), outcome.Reason(""))
 	}
-	crashUnderAll := func(n uint64) {
+	crashWithAll := func(n uint64) {
 		c := crash{n: n, culprit: rs.culprit(tab)}
 		for _, a := range all {
 			o.recordCrash(a, c)
 		}
 	}
-	crashUnderAll(1)
+	crashWithAll(1)
 	is.Equal(tab.CrashCount(answered.digest()), 0) // answered here recently
 	o.recordAnswer(bystander, http.StatusInternalServerError)
-	is.Equal(tab.CrashCount(bystander.digest()), 1) // a failed answer clears nothing
+	is.Equal(tab.CrashCount(bystander.digest()), 1) // a 5xx response clears nothing
 	o.recordAnswer(bystander, http.StatusOK)
-	crashUnderAll(2)
-	crashUnderAll(3)
+	crashWithAll(2)
+	crashWithAll(3)
 	is.Equal(tab.CrashCount(culprit.digest()), 3)
-	is.Equal(tab.CrashCount(bystander.digest()), 1)                 // not charged with the second crash
-	is.Equal(tab.CrashCount(answered.digest()), isolationThreshold) // spared one crash only
-	crashUnderAll(4)
-	crashUnderAll(5)
+	is.Equal(tab.CrashCount(bystander.digest()), 1)                 // the second crash is not recorded for it
+	is.Equal(tab.CrashCount(answered.digest()), isolationThreshold) // exempt from one crash only
+	crashWithAll(4)
+	crashWithAll(5)
 	is.Equal(tab.CrashCount(bystander.digest()), isolationThreshold) // attributed to the quarantined request
 	is.Equal(tab.CrashCount(answered.digest()), isolationThreshold)
 }
@@ -199,8 +199,8 @@
 	o := &Owner{cfg: OwnerConfig{Suspects: tab}, recent: suspect.NewRecent(time.Now)}
 	a := &Attempt{Method: http.MethodGet, URL: mustURL(t, "/a")}
 	quarantine := func() suspect.Record {
-		for e := range suspect.QuarantineThreshold {
-			tab.RecordCrash(a.digest(), suspect.CrashID(e+1))
+		for n := range suspect.QuarantineThreshold {
+			tab.RecordCrash(a.digest(), suspect.CrashID(n+1))
 		}
 		rec, _ := tab.Record(a.digest())
 		return rec
--- a/internal/callpath/transit.go
+++ b/internal/callpath/transit.go
@@ -42,28 +42,28 @@
 func (t *transit) excess(sender string, sent, now time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	f := t.senders[sender]
-	if f == nil {
+	m := t.senders[sender]
+	if m == nil {
 		if len(t.senders) >= transitSenders {
 			t.expire(now)
 		}
-		f = &minTransit{}
-		t.senders[sender] = f
+		m = &minTransit{}
+		t.senders[sender] = m
 	}
-	return f.observe(now-sent, now)
+	return m.observe(now-sent, now)
 }
 
 // observe records the difference between arrival and sending time of a message and
 // returns by how much it exceeds the minimum.
-func (f *minTransit) observe(took, now time.Duration) time.Duration {
-	if f.windows == 0 || now-f.windowStart >= transitWindow {
-		f.previousMin, f.currentMin, f.windowStart = f.currentMin, took, now
-		f.windows++
+func (m *minTransit) observe(took, now time.Duration) time.Duration {
+	if m.windows == 0 || now-m.windowStart >= transitWindow {
+		m.previousMin, m.currentMin, m.windowStart = m.currentMin, took, now
+		m.windows++
 	}
-	f.currentMin = min(f.currentMin, took)
-	least := f.currentMin
-	if f.windows > 1 {
-		least = min(least, f.previousMin)
+	m.currentMin = min(m.currentMin, took)
+	least := m.currentMin
+	if m.windows > 1 {
+		least = min(least, m.previousMin)
 	}
 	return took - least
 }
@@ -72,8 +72,8 @@
 // senders if there is no such sender.
 func (t *transit) expire(now time.Duration) {
 	before := len(t.senders)
-	for sender, f := range t.senders {
-		if now-f.windowStart >= 2*transitWindow {
+	for sender, m := range t.senders {
+		if now-m.windowStart >= 2*transitWindow {
 			delete(t.senders, sender)
 		}
 	}
--- a/internal/callpath/unsent_test.go
+++ b/internal/callpath/unsent_test.go
@@ -41,7 +41,7 @@
 
 // disconnectingCaller returns the context of a request whose caller closes its connection
 // when disconnect is called, without the HTTP server noticing.
-func disconnectingCaller(t *testing.T) (ctx context.Context, leave func()) {
+func disconnectingCaller(t *testing.T) (ctx context.Context, disconnect func()) {
 	client, server := connPair(t)
 	return WithConn(context.Background(), server), func() {
 		client.Close()
@@ -65,9 +65,9 @@
 		p.dialer = slowDialer(wait)
 	}
 
-	ctx, leave := disconnectingCaller(t)
+	ctx, disconnect := disconnectingCaller(t)
 	connect(func() {
-		leave()
+		disconnect()
 		time.Sleep(2 * idleConnWaitMax)
 	})
 	gone := w.owner.execute(ctx, waitingAttempt("gone", w.id, time.Now().Add(time.Minute)))
@@ -135,8 +135,8 @@
 	is.Equal(late.Outcome, outcome.NotRun)
 	is.Equal(late.Reason, outcome.ReasonDeadline)
 
-	ctx, leave := disconnectingCaller(t)
-	gone := send(ctx, waitingAttempt("l-3", "u", time.Now().Add(time.Minute)), leave)
+	ctx, disconnect := disconnectingCaller(t)
+	gone := send(ctx, waitingAttempt("l-3", "u", time.Now().Add(time.Minute)), disconnect)
 	is.Equal(gone.Outcome, outcome.NotRun)
 	is.Equal(gone.Reason, outcome.ReasonCancelled)
 
