--- a/internal/callpath/attempt.go
+++ b/internal/callpath/attempt.go
@@ -82,7 +82,7 @@
 	// Workspace is the name of the workspace whose key the caller presented, or empty.
 	Workspace string
 	// Flow is the name under which the attempt takes turns where attempts queue: the
-	// workspace of the call, or for a nested call that of its parent request.
+	// workspace of the call or, for a nested call, the Flow of its parent request.
 	Flow     string
 	Upstream string
 	// Incarnation is the owner's incarnation, as the ingress knows it.
@@ -127,7 +127,7 @@
 }
 
 // senderIncarnation returns the part of the attempt ID that identifies the sender's
-// incarnation. An ID is that part, a dash and a number.
+// incarnation. An ID consists of that part, a dash and a number.
 func (a *Attempt) senderIncarnation() string {
 	return a.ID[:max(0, strings.LastIndexByte(a.ID, '-'))]
 }
--- a/internal/callpath/callerconn_test.go
+++ b/internal/callpath/callerconn_test.go
@@ -56,12 +56,12 @@
 	served := w.owner.execute(ctx, attempt("there"))
 	is.Equal(served.Outcome, outcome.Answered)
 	served.Body.Close() // releases the slot
-	disconnected, end := connPair(t)
+	disconnected, serverEnd := connPair(t)
 	disconnected.Close()
-	for !closedByPeer(end) { // until the kernel has processed the close
+	for !closedByPeer(serverEnd) { // until the kernel has processed the close
 		time.Sleep(time.Millisecond)
 	}
-	refused := w.owner.execute(WithConn(context.Background(), end), attempt("gone"))
+	refused := w.owner.execute(WithConn(context.Background(), serverEnd), attempt("gone"))
 	is.Equal(refused.Outcome, outcome.NotRun)
 	is.Equal(refused.Reason, outcome.ReasonCancelled)
 	is.Equal(w.runs.Load(), int64(1))
--- a/internal/callpath/fleet_sim_test.go
+++ b/internal/callpath/fleet_sim_test.go
@@ -74,7 +74,7 @@
 	work        time.Duration
 	spread      float64
 	deadline    time.Duration
-	lateValue   float64 // value of a late answer, as a part of that of one in time
+	lateValue   float64 // value of a late answer as a fraction of value
 	value       float64 // value of an answer within the objective
 	nestedKind  *simKind
 	nestedShare float64
--- a/internal/callpath/ownerhttp.go
+++ b/internal/callpath/ownerhttp.go
@@ -40,7 +40,8 @@
 // bytes.
 const maxInquiryBytes = 4096
 
-// ServeHTTP handles attempts and inquiries from ingress daemons. An attempt is recognized
+// ServeHTTP handles attempts and inquiries from ingress daemons and, at a limit
+// coordinator, requests of other daemons about workspace limits. An attempt is recognized
 // by its header, whatever its path: the path was chosen by the caller.
 func (o *Owner) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(headerAttempt) != "" {
--- a/internal/callpath/stop_test.go
+++ b/internal/callpath/stop_test.go
@@ -12,7 +12,7 @@
 	"github.com/comfreygate/comfreygate/internal/outcome"
 )
 
-// TestEndCallsRefusesQueuedAttemptsAsNotRun stops a daemon's calls while one is running and
+// TestEndCallsRefusesQueuedAttemptsAsNotRun ends a daemon's calls while one is running and
 // one is waiting for the slot. The waiting one must be reported as not run rather than
 // dropped; the outcome of the running one is unknown.
 func TestEndCallsRefusesQueuedAttemptsAsNotRun(t *testing.T) {
