--- a/internal/callpath/retry_test.go
+++ b/internal/callpath/retry_test.go
@@ -39,15 +39,15 @@
 func TestExhaustedCallHasTheLongestRetryAfter(t *testing.T) {
 	is := is.New(t)
 	refusal := outcome.Refuse(outcome.ReasonOverload, 25*time.Millisecond)
-	var nobody callAttempts
-	is.Equal(nobody.exhausted(refusal), refusal)
+	var untried callAttempts
+	is.Equal(untried.exhausted(refusal), refusal)
 	refused := callAttempts{upstreams: []string{"a0"}, last: outcome.Refuse(outcome.ReasonOverload, 60*time.Millisecond)}
 	is.Equal(refused.exhausted(refusal).RetryAfter, 60*time.Millisecond)
 }
 
-// TestRefusalAfterAnUnknownAttemptStaysUnknown covers a repeatable call that was cut off
-// at one upstream and then refused by the owner of the next. It may have run, but was
-// reported to its caller as not run.
+// TestRefusalAfterAnUnknownAttemptStaysUnknown covers a repeatable call whose first
+// upstream crashed and that was then refused by the owner of the next. The call may have
+// run, but was reported to its caller as not run.
 func TestRefusalAfterAnUnknownAttemptStaysUnknown(t *testing.T) {
 	is := is.New(t)
 	var calls callAttempts
--- a/internal/callpath/transit.go
+++ b/internal/callpath/transit.go
@@ -8,7 +8,7 @@
 const (
 	// transitWindow is the minimum time for which the shortest delay of a sender's
 	// messages serves as the baseline. The clocks of two VMs drift apart by at most 0.1
-	// ms per second, which over this time stays below the margin before a deadline.
+	// ms per second, which over this time stays below admission.AnswerMargin.
 	transitWindow = 30 * time.Second
 	// transitSenders is the maximum number of senders remembered: twice the number of
 	// daemons at the design size, because each restart of a daemon adds a sender.
@@ -19,7 +19,7 @@
 // from the same sender. The clocks of two VMs cannot be compared, but their offset is the
 // same from one message to the next: any delay beyond the shortest was spent in queues.
 // An attempt that was queued for longer than the time it had left is refused instead of
-// run for a caller that has gone. transit is safe for concurrent use.
+// run for a caller that has given up. transit is safe for concurrent use.
 type transit struct {
 	mu      sync.Mutex
 	senders map[string]*minTransit
@@ -42,38 +42,38 @@
 func (t *transit) excess(sender string, sent, now time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	f := t.senders[sender]
-	if f == nil {
+	m := t.senders[sender]
+	if m == nil {
 		if len(t.senders) >= transitSenders {
 			t.expire(now)
 		}
-		f = &minTransit{}
-		t.senders[sender] = f
+		m = &minTransit{}
+		t.senders[sender] = m
 	}
-	return f.observe(now-sent, now)
+	return m.observe(now-sent, now)
 }
 
 // observe records the difference between arrival and sending time of a message and
 // returns by how much it exceeds the minimum.
-func (f *minTransit) observe(took, now time.Duration) time.Duration {
-	if f.windows == 0 || now-f.windowStart >= transitWindow {
-		f.previousMin, f.currentMin, f.windowStart = f.currentMin, took, now
-		f.windows++
+func (m *minTransit) observe(took, now time.Duration) time.Duration {
+	if m.windows == 0 || now-m.windowStart >= transitWindow {
+		m.previousMin, m.currentMin, m.windowStart = m.currentMin, took, now
+		m.windows++
 	}
-	f.currentMin = min(f.currentMin, took)
-	least := f.currentMin
-	if f.windows > 1 {
-		least = min(least, f.previousMin)
+	m.currentMin = min(m.currentMin, took)
+	least := m.currentMin
+	if m.windows > 1 {
+		least = min(least, m.previousMin)
 	}
 	return took - least
 }
 
 // expire removes the senders whose last window started at least two windows ago, or all
-// senders if there is none such.
+// senders if there is no such sender.
 func (t *transit) expire(now time.Duration) {
 	before := len(t.senders)
-	for sender, f := range t.senders {
-		if now-f.windowStart >= 2*transitWindow {
+	for sender, m := range t.senders {
+		if now-m.windowStart >= 2*transitWindow {
 			delete(t.senders, sender)
 		}
 	}
