--- a/internal/admin/query.go
+++ b/internal/admin/query.go
@@ -100,7 +100,7 @@
 	f(s.world.Self, memberState(s.world.Self.Leaving, false), 0)
 	for _, id := range slices.Sorted(maps.Keys(s.world.Members)) {
 		row := s.world.Members[id]
-		f(row.Member, memberState(row.Leaving, row.Lapsed), s.now.Sub(row.Heard))
+		f(row.Member, memberState(row.Leaving, row.Lapsed), s.now.Sub(row.RenewedAt))
 	}
 }
 
--- a/internal/callpath/attempt.go
+++ b/internal/callpath/attempt.go
@@ -98,9 +98,9 @@
 	// Nested is set if an upstream makes the call for a request that it is running, the
 	// parent request.
 	Nested bool
-	// ParentServed is the fraction of recent calls to the parent request's upstream that
+	// ParentServedPermille is the fraction of recent calls to the parent request's upstream that
 	// were served, in permille. It is set on nested calls only.
-	ParentServed int
+	ParentServedPermille int
 	// WaitFraction is the result of Dialect.waitFraction for Request. It is set on nested
 	// calls only.
 	WaitFraction float64
@@ -110,10 +110,10 @@
 	Repeated bool
 	// Repeatable is set if the call may run more than once.
 	Repeatable bool
-	// Key is the caller's idempotency key, or empty.
-	Key    string
-	Depth  int
-	Method string
+	// IdempotencyKey is the caller's idempotency key, or empty.
+	IdempotencyKey string
+	Depth          int
+	Method         string
 	// URL holds the path and query.
 	URL  *url.URL
 	Host string
--- a/internal/callpath/fleet_sim_test.go
+++ b/internal/callpath/fleet_sim_test.go
@@ -316,7 +316,7 @@
 		Body: make([]byte, 0), Method: http.MethodGet, URL: &url.URL{Path: path}, Caller: vm.service,
 	}}
 	if parent != nil {
-		c.attempt.Nested, c.attempt.Urgency, c.attempt.ParentServed = true, parent.urgency, int(permille*parent.vm.gate.ServedFraction())
+		c.attempt.Nested, c.attempt.Urgency, c.attempt.ParentServedPermille = true, parent.urgency, int(permille*parent.vm.gate.ServedFraction())
 		c.attempt.WaitFraction, c.attempt.Repeated = parent.waitFraction, parent.repeated
 	}
 	for _, b := range []*budget{in.retryBudget, in.refusalBudget, in.failureBudget} {
@@ -368,7 +368,7 @@
 		s.arrive(vm, to, k, c, func(r outcome.Result) {
 			s.after(s.messageDelay(vm, to), func() {
 				if r.Outcome == outcome.Answered {
-					in.picker.Note(c.route.Name, 5000, s.now.Sub(began))
+					in.picker.RecordAnswer(c.route.Name, 5000, s.now.Sub(began))
 				}
 				in.picker.Observe(u, c.attempt.Urgency, r)
 				in.picker.Finished(u)
--- a/internal/callpath/ingress.go
+++ b/internal/callpath/ingress.go
@@ -321,7 +321,7 @@
 // the upstream that the hash of the key selects, whichever daemon it enters at, so that
 // the owner of that upstream sees every copy.
 func (in *Ingress) next(c *call, tried []string) (view.Upstream, outcome.Result, bool) {
-	if c.attempt.Key == "" {
+	if c.attempt.IdempotencyKey == "" {
 		criteria := in.criteria(c, tried)
 		if crashCount(in.cfg.Suspects, &c.attempt) > 0 {
 			criteria.AffinityKey = c.attempt.digest().String()
@@ -332,7 +332,7 @@
 		// The owner of another upstream would not know of the copies sent to the first.
 		return view.Upstream{}, outcome.Refuse(outcome.ReasonOverload, outcome.MinRetryAfter), false
 	}
-	target := pick.Rendezvous(c.service.Upstreams, c.attempt.Caller+"\x00"+c.attempt.Key)
+	target := pick.Rendezvous(c.service.Upstreams, c.attempt.Caller+"\x00"+c.attempt.IdempotencyKey)
 	if target == nil {
 		return view.Upstream{}, outcome.Refuse(outcome.ReasonNoUpstream, pick.DefaultRetryAfter), false
 	}
@@ -388,8 +388,8 @@
 		objective = c.route.Policy.Timeout / defaultObjectiveDivisor
 	}
 	criteria := pick.Criteria{Urgency: c.attempt.Urgency, Objective: objective, Body: len(c.attempt.Body), Tried: tried}
-	criteria.Bytes, criteria.Took = in.picker.Expect(c.route.Name, len(c.attempt.Body), objective)
-	c.attempt.TypicalLatency = criteria.Took
+	criteria.Bytes, criteria.TypicalLatency = in.picker.Expect(c.route.Name, len(c.attempt.Body), objective)
+	c.attempt.TypicalLatency = criteria.TypicalLatency
 	return criteria
 }
 
@@ -411,7 +411,7 @@
 		var size int
 		r, size = bufferAnswer(ctx, r)
 		if r.Outcome == outcome.Answered {
-			in.picker.Note(c.route.Name, size, in.cfg.Now().Sub(began))
+			in.picker.RecordAnswer(c.route.Name, size, in.cfg.Now().Sub(began))
 		}
 	}
 	in.recordForRollout(c, u, r)
--- a/internal/callpath/ledger.go
+++ b/internal/callpath/ledger.go
@@ -80,8 +80,8 @@
 		return outcome.ReasonOverload, false
 	}
 	e := &entry{state: Waiting, expires: a.Deadline.Add(entryRetention)}
-	if a.Key != "" {
-		e.key = a.Caller + "\x00" + a.Key
+	if a.IdempotencyKey != "" {
+		e.key = a.Caller + "\x00" + a.IdempotencyKey
 		if _, taken := l.keys[e.key]; taken {
 			return outcome.ReasonDuplicate, false
 		}
--- a/internal/callpath/nested.go
+++ b/internal/callpath/nested.go
@@ -63,7 +63,7 @@
 		a.Urgency = p.urgency
 		a.Flow = p.flow
 		a.Repeated = p.repeated
-		a.ParentServed = int(permille * p.gate.ServedFraction())
+		a.ParentServedPermille = int(permille * p.gate.ServedFraction())
 		a.WaitFraction = in.cfg.Dialect.waitFraction(a.Request)
 	}
 }
--- a/internal/callpath/nested_test.go
+++ b/internal/callpath/nested_test.go
@@ -30,7 +30,7 @@
 	in.inheritFromParent(child)
 	is.True(child.Nested)
 	is.Equal(child.Urgency, config.Critical)
-	is.Equal(child.ParentServed, permille)
+	is.Equal(child.ParentServedPermille, permille)
 	urgent := &Attempt{Request: "parent.child", Urgency: config.MostUrgent}
 	in.inheritFromParent(urgent)
 	is.Equal(urgent.Urgency, config.Critical) // not more urgent than its parent
--- a/internal/callpath/overload_test.go
+++ b/internal/callpath/overload_test.go
@@ -126,7 +126,7 @@
 	s := &view.Service{Service: config.Service{Name: "s", Ramp: r.ramp}}
 	for _, w := range r.workers {
 		s.Upstreams = append(s.Upstreams, view.Upstream{
-			ID: w.id, Service: "s", Slots: w.slots, Since: w.startedAt, Daemon: w.id, Incarnation: 1,
+			ID: w.id, Service: "s", Slots: w.slots, AnnouncedAt: w.startedAt, Daemon: w.id, Incarnation: 1,
 			Domain: "d", Owner: w.srv.Listener.Addr().String(),
 		})
 		addr := w.up.Listener.Addr().(*net.TCPAddr).String()
@@ -142,7 +142,7 @@
 	var routes []*view.Route
 	for _, u := range []config.Urgency{config.Background, config.Normal, config.Critical} {
 		routes = append(routes, &view.Route{
-			Name: u.String(), Path: "/" + u.String(), Targets: []view.Target{{Service: "s", Until: 1}},
+			Name: u.String(), Path: "/" + u.String(), Targets: []view.Target{{Service: "s", CumulativeShare: 1}},
 			Policy:  config.Policy{Name: "p", Urgency: u, Timeout: 2 * time.Second, Retries: 2, Repeatable: []string{"GET"}},
 			Callers: map[string]config.Caller{"c": {Name: "c"}},
 		})
--- a/internal/callpath/ownerhttp.go
+++ b/internal/callpath/ownerhttp.go
@@ -170,7 +170,7 @@
 	h := r.Header
 	a := &Attempt{
 		ID: h.Get(headerAttempt), Request: h.Get(HeaderRequest), Caller: h.Get(HeaderCaller),
-		Workspace: h.Get(HeaderWorkspace), Flow: cmp.Or(h.Get(headerFlow), h.Get(HeaderWorkspace)), Upstream: h.Get(headerUpstream), Key: h.Get(headerIdempotency),
+		Workspace: h.Get(HeaderWorkspace), Flow: cmp.Or(h.Get(headerFlow), h.Get(HeaderWorkspace)), Upstream: h.Get(headerUpstream), IdempotencyKey: h.Get(headerIdempotency),
 		Method: r.Method, URL: r.URL, Host: r.Host,
 	}
 	var err error
@@ -184,7 +184,7 @@
 	a.Urgency = config.Urgency(urgency)
 	if text := h.Get(headerNested); text != "" {
 		a.Nested = true
-		if a.ParentServed, err = strconv.Atoi(text); err != nil {
+		if a.ParentServedPermille, err = strconv.Atoi(text); err != nil {
 			return nil, errors.Wrap(err, headerNested)
 		}
 	}
--- a/internal/callpath/remote.go
+++ b/internal/callpath/remote.go
@@ -147,7 +147,7 @@
 		h.Set(headerFlow, a.Flow)
 	}
 	if a.Nested {
-		h.Set(headerNested, strconv.Itoa(a.ParentServed))
+		h.Set(headerNested, strconv.Itoa(a.ParentServedPermille))
 	}
 	if a.Repeated {
 		h.Set(headerRepeated, "1")
--- a/internal/callpath/request.go
+++ b/internal/callpath/request.go
@@ -70,7 +70,7 @@
 	}
 	c.attempt = Attempt{
 		Request: c.attempt.Request, Caller: name, Urgency: route.Policy.Urgency, Deadline: now.Add(timeout),
-		Repeatable: route.Policy.MayRepeat(r.Method), Key: r.Header.Get(headerIdempotency),
+		Repeatable: route.Policy.MayRepeat(r.Method), IdempotencyKey: r.Header.Get(headerIdempotency),
 		Depth: depth + 1, Method: r.Method, URL: r.URL, Host: r.Host, AnyHost: route.Host == "",
 		Header: in.forwarded(r.Header), Body: body,
 	}
@@ -98,7 +98,7 @@
 	if err != nil || left == 0 || c.attempt.Nested {
 		return at // the timeout of a nested call is what its parent has left
 	}
-	return at.Add(-in.picker.Waited(c.route.Name, left, policy.Timeout))
+	return at.Add(-in.picker.EstimatedWait(c.route.Name, left, policy.Timeout))
 }
 
 // maxBody returns the maximum size of a request body, in bytes.
--- a/internal/callpath/retry.go
+++ b/internal/callpath/retry.go
@@ -99,7 +99,7 @@
 	if r.Reached() {
 		t.reached++
 	}
-	if r.Full() {
+	if r.RefusedForCapacity() {
 		t.refused++
 	}
 	if t.answer != nil && r.Outcome == outcome.Answered {
@@ -156,7 +156,7 @@
 // the retry budgets that apply.
 func (in *Ingress) mayRetry(c *call, t *callAttempts) bool {
 	r := t.last
-	if t.refused > 0 && !r.Full() {
+	if t.refused > 0 && !r.RefusedForCapacity() {
 		in.cfg.Metrics.RetriesFoundRoom.Inc(1)
 		in.refusalBudget.add(c.service.Name, acceptedRefund)
 	}
@@ -171,7 +171,7 @@
 		return false
 	case len(t.upstreams) >= maxOwners:
 		return false
-	case r.Full():
+	case r.RefusedForCapacity():
 		return t.refused < maxFullOwners && in.spend(in.refusalBudget, c)
 	case !r.Reached():
 		// An upstream that is draining or unreachable costs a call one hop, and a
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -126,8 +126,8 @@
 	return r.Reason == ReasonBroken || r.Reason == ReasonCrashed || r.Reason == ReasonDeadline
 }
 
-// Full reports whether the owner refused the attempt for lack of capacity at present.
-func (r Result) Full() bool {
+// RefusedForCapacity reports whether the owner refused the attempt for lack of capacity at present.
+func (r Result) RefusedForCapacity() bool {
 	return r.Outcome == NotRun && (r.Reason == ReasonOverload || r.Reason == ReasonLink || r.Reason == ReasonOtherSuspect)
 }
 
--- a/internal/pick/cost.go
+++ b/internal/pick/cost.go
@@ -18,7 +18,7 @@
 // and all of it far beyond. With a linear cost, calls were sent across failure domains to
 // save milliseconds that nobody notices, which doubled the bytes sent between domains.
 func (p *Picker) upstreamCost(u *view.Upstream, c Criteria, means serviceMeans, now time.Time) float64 {
-	expected := float64(c.Took)*p.slowness(u, means, now) + float64(p.bodyWait(u, c, now))
+	expected := float64(c.TypicalLatency)*p.slowness(u, means, now) + float64(p.bodyWait(u, c, now))
 	objectiveFraction := expected / float64(max(c.Objective, time.Millisecond))
 	late := objectiveFraction * objectiveFraction * objectiveFraction
 	st := p.stats[u.ID]
--- a/internal/pick/pick.go
+++ b/internal/pick/pick.go
@@ -15,8 +15,8 @@
 	// Objective is the time within which the answer should arrive. upstreamCost says what
 	// a later answer costs.
 	Objective time.Duration
-	// Took is how long the route's calls usually take.
-	Took time.Duration
+	// TypicalLatency is how long the route's calls usually take.
+	TypicalLatency time.Duration
 	// Body is the length of the request's body, in bytes.
 	Body int
 	// Bytes is how many bytes are sent to the upstream's VM and back.
--- a/internal/pick/picker_test.go
+++ b/internal/pick/picker_test.go
@@ -54,7 +54,7 @@
 func (f *pickerFixture) pickedDomains(bytes int) map[string]int {
 	n := map[string]int{}
 	for range 300 {
-		u, _, ok := f.Pick(f.service, Criteria{Urgency: config.Normal, Objective: testObjective, Took: testService, Bytes: bytes})
+		u, _, ok := f.Pick(f.service, Criteria{Urgency: config.Normal, Objective: testObjective, TypicalLatency: testService, Bytes: bytes})
 		if !ok {
 			n["none"]++
 			continue
@@ -168,7 +168,7 @@
 	is.Equal(f.pickedDomains(testLookup)["a"], 300)
 	f.stats["a1"].errorRate = 0.9
 	for range 300 {
-		u, _, _ := f.Pick(f.service, Criteria{Urgency: config.Normal, Objective: testObjective, Took: testService, Bytes: testLookup})
+		u, _, _ := f.Pick(f.service, Criteria{Urgency: config.Normal, Objective: testObjective, TypicalLatency: testService, Bytes: testLookup})
 		is.True(u.ID != "a1")
 		f.Finished(u)
 	}
--- a/internal/pick/refusals.go
+++ b/internal/pick/refusals.go
@@ -37,7 +37,7 @@
 	r.updatedAt = now
 	switch {
 	case res.RefusedAsSuspect():
-	case res.Full():
+	case res.RefusedForCapacity():
 		for u := range urgency + 1 {
 			r.byUrgency[u] += weight * (1 - r.byUrgency[u])
 		}
--- a/internal/pick/refusals_test.go
+++ b/internal/pick/refusals_test.go
@@ -28,7 +28,7 @@
 	load := func(service time.Duration, inFlight int) outcome.Load {
 		return outcome.Load{InFlight: inFlight, Slots: 4, Service: service}
 	}
-	criteria := Criteria{Urgency: config.Normal, Objective: 300 * time.Millisecond, Took: 150 * time.Millisecond}
+	criteria := Criteria{Urgency: config.Normal, Objective: 300 * time.Millisecond, TypicalLatency: 150 * time.Millisecond}
 	var picked int
 	for range 100 {
 		now = now.Add(20 * time.Millisecond)
--- a/internal/pick/routestats.go
+++ b/internal/pick/routestats.go
@@ -89,15 +89,15 @@
 	return p.routes.expect(route, body, objective)
 }
 
-// Note records the size and the duration of an answer to a route's call.
-func (p *Picker) Note(route string, size int, took time.Duration) {
+// RecordAnswer records the size and the duration of an answer to a route's call.
+func (p *Picker) RecordAnswer(route string, size int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.routes.record(route, size, took)
 }
 
-// Waited returns how long a caller with the given time left has probably waited already.
-func (p *Picker) Waited(route string, left, timeout time.Duration) time.Duration {
+// EstimatedWait returns how long a caller with the given time left has probably waited already.
+func (p *Picker) EstimatedWait(route string, left, timeout time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.routes.waited(route, left, timeout)
--- a/internal/system/discovery_test.go
+++ b/internal/system/discovery_test.go
@@ -118,7 +118,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			w := documentWorld()
-			w.Members["first"] = &table.Member{Member: wire.Member{ID: "first", Domain: "d", Peer: "first", LinkMbps: 1000}, Heard: w.Started}
+			w.Members["first"] = &table.Member{Member: wire.Member{ID: "first", Domain: "d", Peer: "first", LinkMbps: 1000}, RenewedAt: w.Started}
 			w.Links[1] = &table.Link{ID: 1, Peer: "first", Domain: "d", HeardAt: w.Started, EchoAt: w.Started}
 			w.Self.LinkMbps = 1 // too narrow a link to be a root
 			w.MembersChanged()
--- a/internal/system/link.go
+++ b/internal/system/link.go
@@ -141,7 +141,7 @@
 
 // memberPullInterval returns the minimum interval between member pulls on a connection.
 func memberPullInterval(w *table.World, now time.Time) time.Duration {
-	if now.Sub(w.MembersAt) < w.Params.Heartbeat/2 {
+	if now.Sub(w.MembersChangedAt) < w.Params.Heartbeat/2 {
 		return pullHeartbeatsWhileChanging * w.Params.Heartbeat
 	}
 	return w.Params.Heartbeat
--- a/internal/system/member.go
+++ b/internal/system/member.go
@@ -45,14 +45,14 @@
 	row := w.Members[rec.ID]
 	switch {
 	case row == nil:
-		row = &table.Member{Member: rec, Heard: heard}
+		row = &table.Member{Member: rec, RenewedAt: heard}
 		w.Members[rec.ID] = row
 		out.event(event.Event{Kind: event.MemberUp, Peer: rec.ID})
 	case rec.Newer(row.Member):
 		restarted := rec.Incarnation != row.Incarnation
 		heartbeat := row.Heartbeat
 		row.Member = rec
-		row.Heard = latestTime(row.Heard, heard)
+		row.RenewedAt = latestTime(row.RenewedAt, heard)
 		if !restarted && heartbeat.Seq > rec.Heartbeat.Seq {
 			row.Heartbeat = heartbeat
 		}
@@ -61,7 +61,7 @@
 		}
 	case rec.Incarnation == row.Incarnation && rec.Heartbeat.Seq > row.Heartbeat.Seq:
 		row.Heartbeat = rec.Heartbeat
-		row.Heard = latestTime(row.Heard, heard)
+		row.RenewedAt = latestTime(row.RenewedAt, heard)
 		row.Floor = max(row.Floor, rec.Heartbeat.Applied)
 		clearLapse(w, now, row)
 		return
@@ -69,10 +69,10 @@
 		return
 	}
 	row.Floor = max(row.Floor, rec.Heartbeat.Applied)
-	w.MembersAt = now
+	w.MembersChangedAt = now
 	w.MembersChanged()
 	displaced := w.ClaimAddress(row.Member)
-	row.Lapsed = now.Sub(row.Heard) > w.Params.Lapse || w.Displaced(row.Member)
+	row.Lapsed = now.Sub(row.RenewedAt) > w.Params.Lapse || w.Displaced(row.Member)
 	lapseDisplaced(w, displaced, out)
 	queueRecord(w, now, rec.ID, from)
 }
@@ -108,14 +108,14 @@
 	}
 	row.Heartbeat = h.Heartbeat
 	row.Floor = max(row.Floor, h.Applied)
-	row.Heard = now
+	row.RenewedAt = now
 	clearLapse(w, now, row)
 	queueHeartbeat(w, now, h.ID, from)
 }
 
 // clearLapse makes a lapsed member live again after a heartbeat, unless it was displaced.
 func clearLapse(w *table.World, now time.Time, row *table.Member) {
-	if row.Lapsed && now.Sub(row.Heard) <= w.Params.Lapse && !w.Displaced(row.Member) {
+	if row.Lapsed && now.Sub(row.RenewedAt) <= w.Params.Lapse && !w.Displaced(row.Member) {
 		row.Lapsed = false
 		w.MembersChanged()
 	}
@@ -140,7 +140,7 @@
 	}
 	w.NextLapse = now.Add(w.Params.Lapse / lapseChecks)
 	for id, row := range w.Members {
-		silence := now.Sub(row.Heard)
+		silence := now.Sub(row.RenewedAt)
 		switch {
 		case silence > lapsedRetention:
 			w.RemoveMember(id)
@@ -249,7 +249,7 @@
 
 func recordWithAge(row *table.Member, now time.Time) wire.Member {
 	rec := row.Member
-	rec.AgeMs = max(0, now.Sub(row.Heard).Milliseconds())
+	rec.AgeMs = max(0, now.Sub(row.RenewedAt).Milliseconds())
 	return rec
 }
 
--- a/internal/system/suspects_test.go
+++ b/internal/system/suspects_test.go
@@ -216,7 +216,7 @@
 		for _, other := range n.nodes {
 			if other != node {
 				m := other.w.Self
-				node.w.Members[m.ID] = &table.Member{Member: m, Heard: n.now}
+				node.w.Members[m.ID] = &table.Member{Member: m, RenewedAt: n.now}
 				node.w.ClaimAddress(m)
 			}
 		}
--- a/internal/table/member.go
+++ b/internal/table/member.go
@@ -14,9 +14,9 @@
 // Member is this daemon's record of another daemon.
 type Member struct {
 	wire.Member
-	// Heard is when the member last renewed its record: when its last heartbeat arrived,
+	// RenewedAt is when the member last renewed its record: when its last heartbeat arrived,
 	// or when its last record arrived, less the age stated in that record.
-	Heard time.Time
+	RenewedAt time.Time
 	// Lapsed is set if the member did not renew its record in time, or was displaced at
 	// its address. It is then ignored, but the row is kept, so that an old copy of the
 	// record cannot restore the member.
--- a/internal/table/world.go
+++ b/internal/table/world.go
@@ -106,9 +106,9 @@
 	Members   map[string]*Member
 	derived   derived
 	NextLapse time.Time
-	// MembersAt is when another member's record last changed other than by a heartbeat.
-	MembersAt   time.Time
-	MembersTree Tree
+	// MembersChangedAt is when another member's record last changed other than by a heartbeat.
+	MembersChangedAt time.Time
+	MembersTree      Tree
 	// LimitCoordinators holds the limit coordinator of each failure domain: the domain's
 	// first member, which counts calls against the rate limits of workspaces.
 	LimitCoordinators map[string]wire.Member
--- a/internal/view/routes.go
+++ b/internal/view/routes.go
@@ -36,8 +36,8 @@
 // Target is a service that gets a share of a route's calls.
 type Target struct {
 	Service string
-	// Until is the cumulative share of this target and those before it, from 0 to 1.
-	Until float64
+	// CumulativeShare is the cumulative share of this target and those before it, from 0 to 1.
+	CumulativeShare float64
 }
 
 // goldenRatioFraction is the fractional part of the golden ratio. The fractional parts of
@@ -54,7 +54,7 @@
 	}
 	_, fraction := math.Modf(float64(r.counter.Add(1)) * goldenRatioFraction)
 	for _, t := range r.Targets {
-		if fraction < t.Until {
+		if fraction < t.CumulativeShare {
 			return t.Service
 		}
 	}
@@ -165,7 +165,7 @@
 			continue
 		}
 		sum += t.Weight
-		list = append(list, Target{Service: t.Service, Until: float64(sum) / float64(total)})
+		list = append(list, Target{Service: t.Service, CumulativeShare: float64(sum) / float64(total)})
 	}
 	return list
 }
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -20,8 +20,8 @@
 	Service string
 	Version string
 	Slots   int
-	// Since is when the upstream announced itself, by the clock of its daemon.
-	Since time.Time
+	// AnnouncedAt is when the upstream announced itself, by the clock of its daemon.
+	AnnouncedAt time.Time
 	// Daemon is the ID of the daemon that owns the upstream, Owner that daemon's address.
 	Daemon      string
 	Incarnation uint64
@@ -121,7 +121,7 @@
 			continue
 		}
 		s.Upstreams = append(s.Upstreams, Upstream{
-			ID: u.ID, Service: u.Service, Version: u.Version, Slots: u.Slots, Since: time.UnixMilli(u.AnnouncedAtMs),
+			ID: u.ID, Service: u.Service, Version: u.Version, Slots: u.Slots, AnnouncedAt: time.UnixMilli(u.AnnouncedAtMs),
 			Daemon: m.ID, Incarnation: m.Incarnation, Domain: m.Domain, Owner: m.Owner, Local: local,
 		})
 	}
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -22,7 +22,7 @@
 		{ID: "sound", Owner: "10.0.0.1:80", Upstreams: []wire.Upstream{{ID: "sound/u", Service: "s", Slots: 4}}},
 		{ID: "odd", Upstreams: []wire.Upstream{{ID: "odd/u", Service: "s", Slots: 4}}},
 	} {
-		w.Members[m.ID] = &table.Member{Member: m, Heard: now}
+		w.Members[m.ID] = &table.Member{Member: m, RenewedAt: now}
 	}
 	w.MembersChanged()
 	c := config.NewContent()
