--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -53,7 +53,8 @@
 	// Source delivers the configuration. If nil, the configuration is built from the commands
 	// on the log.
 	Source DocumentSource
-	// StatusPublisher publishes the status of rollouts for operators. If nil, operators query a daemon.
+	// StatusPublisher publishes the status of rollouts for operators. If nil, operators query
+	// a daemon.
 	StatusPublisher StatusPublisher
 	// Dialect names the HTTP headers used with callers and upstreams.
 	Dialect callpath.Dialect
@@ -76,7 +77,7 @@
 	// suspects is shared by the entity tables and the call path.
 	suspects   *suspect.Table
 	quarantine quarantineReader
-	// view is the view in force. Only loop uses it.
+	// view is the view in force. Only the loop goroutine uses it.
 	view      *view.View
 	transport *peer.Transport
 	owner     *callpath.Owner
@@ -223,14 +224,14 @@
 func (a *Agent) Metrics() metrics.Registry { return a.metrics }
 
 // Loads returns the load of each upstream on this VM, and the loads that other owners
-// reported within the last seconds for theirs.
+// recently reported for their upstreams.
 func (a *Agent) Loads() map[string]outcome.Load {
 	loads := a.ingress.Loads()
 	maps.Copy(loads, a.owner.Loads())
 	return loads
 }
 
-// Start starts the control loop and serves all listeners. Admin is the handler of the
+// Start starts the control loop and serves all listeners. The handler admin serves the
 // administration API.
 func (a *Agent) Start(admin http.Handler) {
 	a.events.Add(event.Event{Kind: event.Started})
@@ -309,8 +310,8 @@
 // stopping.
 func (a *Agent) Ready() bool { return a.ready.Load() && !a.ingress.Stale() }
 
-// Listen opens a listener besides the agent's own interfaces and serves h on it. It is closed
-// with the others.
+// Listen opens a listener besides the agent's own interfaces and serves h on it. The listener
+// is closed together with the agent's own.
 func (a *Agent) Listen(name, addr string, h http.Handler) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/agent/configmetrics.go
+++ b/internal/agent/configmetrics.go
@@ -18,7 +18,8 @@
 type configMetrics struct {
 	version atomic.Uint64
 	// installedAtMs is when the current version was installed, in Unix milliseconds.
-	// lastConfirmed is the freshness.Stamp at which it was last known to be the newest.
+	// lastConfirmed is the freshness.Timestamp at which the current version was last known to
+	// be the newest.
 	installedAtMs atomic.Int64
 	lastConfirmed atomic.Int64
 	// documentsRead counts the documents read, including those counted in documentsRefused,
--- a/internal/agent/drain.go
+++ b/internal/agent/drain.go
@@ -17,7 +17,7 @@
 	*net.TCPListener
 	draining atomic.Bool
 	// pending holds the established connections that were not accepted when the listener was
-	// closed. drained is set once they have been collected. Only Accept uses both.
+	// closed. drained is set once pending has been filled. Only Accept uses both.
 	pending   []net.Conn
 	drained   bool
 	done      chan struct{}
--- a/internal/agent/local.go
+++ b/internal/agent/local.go
@@ -20,9 +20,9 @@
 type Announcement struct {
 	// ID identifies the upstream. It is unique on the VM.
 	ID string `json:"id"`
-	// Incarnation identifies the incarnation of the upstream: it differs between two processes that
-	// announce the same ID, so that a restarted upstream is not mistaken for the previous one.
-	// It may be any text.
+	// Incarnation identifies the process that runs the upstream. It differs between two
+	// processes that announce the same ID, so that a restarted upstream is not mistaken for
+	// the previous one. It may be any text.
 	Incarnation string `json:"life"`
 	Service     string `json:"service"`
 	// Version is the version of the upstream's software: any text, or "".
@@ -36,8 +36,9 @@
 	// Process is the ID that is sent with calls to the upstream, if it checks that they are
 	// meant for its own process.
 	Process string `json:"-"`
-	// StartedMs is when this incarnation of the upstream started, in Unix milliseconds, or zero if
-	// unknown. If known, a later value under the same ID is another incarnation.
+	// StartedMs is when this incarnation of the upstream started, in Unix milliseconds, or
+	// zero if unknown. If it is known, a later value under the same ID means another
+	// incarnation.
 	StartedMs int64 `json:"-"`
 	// Draining is set if the upstream accepts no new calls.
 	Draining bool `json:"-"`
@@ -136,8 +137,8 @@
 }
 
 // Remove deregisters an upstream whose process is about to exit. When it returns, the upstream
-// gets no new calls, and a delayed announcement does not register it again. Born is the start
-// of the incarnation that exits; zero: the registered one.
+// gets no new calls, and a delayed announcement does not register it again. startedMs is the
+// start of the incarnation that exits, in Unix milliseconds, or zero for the registered one.
 func (a *Agent) Remove(id string, born int64) {
 	a.input(system.Removed{Name: a.upstreamName(id), StartedMs: born})
 	a.Inspect(noop)
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -45,7 +45,7 @@
 }
 
 // Inspect calls run with the entity tables between two ticks, after the inputs that were
-// queued before have been applied. Run must not keep references to the tables. Inspect returns
+// queued before have been applied. The function run must not keep references to the tables. Inspect returns
 // false if the daemon has stopped.
 func (a *Agent) Inspect(run func(*table.World)) bool {
 	in := inspection{run: run, done: make(chan struct{})}
--- a/internal/agent/quarantine.go
+++ b/internal/agent/quarantine.go
@@ -80,7 +80,8 @@
 }
 
 // handleQuarantineRequests performs what a tick requested for quarantined requests: reads and
-// writes of the store's records, and the check whether the owner can clear a new one.
+// writes of the store's records, and the check whether the owner can clear a newly
+// quarantined request.
 func (a *Agent) handleQuarantineRequests(out system.Outbox) {
 	if out.ReadQuarantine && a.readingQuarantine.CompareAndSwap(false, true) {
 		go a.readQuarantine()
--- a/internal/agent/rollout_test.go
+++ b/internal/agent/rollout_test.go
@@ -164,7 +164,7 @@
 }
 
 // rollOut orders a rollout of version v2 with the given duration and returns the final status
-// that operators read.
+// published for operators.
 func (f *rolloutFleet) rollOut(within time.Duration) string {
 	order := fmt.Sprintf(`{"service":"tickets","target_version":"v2","duration_s":%g}`, within.Seconds())
 	if err := f.log.AppendKeyed(context.Background(), "keyed.op", "rollout/tickets", []byte(order)); err != nil {
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -51,15 +51,16 @@
 const (
 	// callersFraction bounds calls.drain if bounds.stop is short.
 	callersFraction = 0.4
-	// peersFraction splits the time between accepting attempts and letting them finish: of 6 s
-	// it leaves 2.1 s, for attempts that run up to 0.8 s; of 10 s it leaves 3.5 s, for attempts
+	// peersFraction splits the time between accepting attempts and letting them finish, so
+	// that accepted attempts have about as long to finish as new ones were accepted: of 6 s
+	// 2.1 s are left, for attempts that run up to 0.8 s; of 10 s 3.5 s are left, for attempts
 	// that run up to 4.4 s.
 	peersFraction = 0.5
-	// runsFraction is above 5/6: whoever stops the process relies on running attempts being
-	// waited for until then.
+	// runsFraction is above 5/6: the platform that stops the process relies on the process
+	// waiting for running attempts until 5/6 of bounds.stop.
 	runsFraction = 0.85
-	// closeFraction leaves 0.4 s of 6 s, after running attempts are cancelled, for the last
-	// answers: time to ask an owner whether a call has run and to answer the caller.
+	// closeFraction leaves 0.4 s of 6 s after running attempts are cancelled: time to send an
+	// owner an inquiry whether a call has run, and to answer the caller.
 	closeFraction = 0.92
 )
 
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -10,6 +10,6 @@
 // steady returns the time since the start of the process on the monotonic clock.
 func steady() time.Duration { return time.Since(processStart) }
 
-// NowAsTime returns the boot time as a time.Time, for callers that compare or subtract two. It is
-// not a time of day.
+// NowAsTime returns the time since the VM booted as a time.Time, for callers that compare or
+// subtract two such times. It is not a time of day.
 func NowAsTime() time.Time { return time.Unix(0, int64(Now())) }
--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -124,7 +124,8 @@
 	}
 }
 
-// DryRun evaluates a command against a state without applying it (a dry run).
+// DryRun returns the reason why a command would be rejected in a state, or nil if it would be
+// accepted. It does not apply the command.
 func DryRun(s *State, cmd Command) error {
 	_, rej := s.Content.withCommand(cmd, s.Version+1)
 	if rej != nil {
--- a/internal/config/delta_test.go
+++ b/internal/config/delta_test.go
@@ -38,9 +38,9 @@
 	return c
 }
 
-// TestDeltasAndDocumentsGiveTheSameState draws a chain of documents. Following the
-// documents, applying the delta of each step, and applying one delta combined over the
-// whole chain must each give the state that the last document gives by itself, including
+// TestDeltasAndDocumentsGiveTheSameState draws a chain of documents. Applying one document
+// after the other, applying the delta of each step, and applying one delta composed of all
+// steps must each give the state that the last document gives by itself, including
 // the hash.
 func TestDeltasAndDocumentsGiveTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/config/normalize.go
+++ b/internal/config/normalize.go
@@ -10,7 +10,7 @@
 // Flaw is a part of a document that cannot be applied as written.
 type Flaw struct {
 	Entity Ref
-	// Problem describes what is wrong, Instead what is applied in its place.
+	// Problem describes what is wrong, Resolution what is applied in its place.
 	Problem    string
 	Resolution string
 }
--- a/internal/config/normalize_test.go
+++ b/internal/config/normalize_test.go
@@ -134,7 +134,7 @@
 	return rapid.OneOf(rapid.SampledFrom([]float64{0, -1, 1, 90, 1e18, -1e18}), rapid.Float64()).Draw(t, label)
 }
 
-// TestAnyDocumentCanBePutInForce guards against a version that is held back as a whole
+// TestAnyDocumentCanBePutInForce guards against a version of which nothing is applied
 // because of one invalid entity. It draws documents of invalid entities beside a valid
 // route, which must be in force as written.
 func TestAnyDocumentCanBePutInForce(t *testing.T) {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -148,8 +148,8 @@
 	return s, nil
 }
 
-// CheckConsistency returns an error if two workspaces share a key or a route refers to an entity
-// that does not exist. Only consistent content may be served.
+// CheckConsistency returns an error if two workspaces share a key or a route refers to an
+// entity that does not exist. Only consistent content may be served.
 func (c Content) CheckConsistency() error {
 	if err := c.checkWorkspaceKeys(); err != nil {
 		return err
--- a/internal/lang/statement.go
+++ b/internal/lang/statement.go
@@ -20,8 +20,8 @@
 	"github.com/comfreygate/comfreygate/internal/config"
 )
 
-// Statement is a parsed statement. Exactly one of Query, Changes, Reseed, Clear, Rollout
-// and Abort is set.
+// Statement is a parsed statement. Exactly one of Query, Changes, Reseed, ClearSuspect,
+// Rollout and AbortRollout is set.
 type Statement struct {
 	Query   *Query
 	Changes []config.Change
@@ -33,7 +33,7 @@
 	Reseed    bool
 	// ClearSuspect is the digest of a suspect to clear.
 	ClearSuspect string
-	// Rollout orders a rollout. Abort names the service whose rollout to abort.
+	// Rollout orders a rollout. AbortRollout names the service whose rollout to abort.
 	Rollout      *Rollout
 	AbortRollout string
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -114,8 +114,8 @@
 	// daemon. Default: 15s.
 	InForce Duration `yaml:"in_force"`
 	// Revoke is the time within which a removed key stops admitting calls, also at
-	// partitioned daemons: these then refuse calls that need a key. Default: 0, no such
-	// bound; reachable daemons keep to in_force.
+	// partitioned daemons: these then refuse calls that need a key. Default: 0, no bound
+	// for partitioned daemons; on all others the removal is in force within in_force.
 	Revoke Duration `yaml:"revoke"`
 	// LimitWindow, LimitPart and LimitCalls define by how much the limits of workspaces
 	// may be exceeded: in each window by this part of the calls that they allow in it, and
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestVMNames guards against daemons that do not start, on a whole deployment, because its
-// VMs' names have an unexpected form.
+// TestVMNames guards against a deployment whose daemons all fail to start because the names
+// of its VMs have an unexpected form.
 func TestVMNames(t *testing.T) {
 	is := is.New(t)
 	for _, name := range []string{"front-a-1", "Front_A:1", "10.0.0.1", strings.Repeat("long-name-", 20)} {
