--- a/cmd/comfreyd/platform.go
+++ b/cmd/comfreyd/platform.go
@@ -31,10 +31,10 @@
 	if !p.Enabled() {
 		return nil
 	}
-	place := platform.LocalUpstream{Service: p.Service, Addr: p.Upstream}
+	local := platform.LocalUpstream{Service: p.Service, Addr: p.Upstream}
 	err := a.Listen("platform.ready", p.Ready, platform.NewReadyHandler(a.Ready))
 	if err == nil {
-		err = a.Listen("platform.heartbeats", p.Heartbeats, platform.NewHeartbeatHandler(a, place, a.Metrics(), logger))
+		err = a.Listen("platform.heartbeats", p.Heartbeats, platform.NewHeartbeatHandler(a, local, a.Metrics(), logger))
 	}
 	if err == nil {
 		err = a.Listen("platform.metrics", p.Metrics, metricsText(a.Metrics()))
--- a/internal/admin/query.go
+++ b/internal/admin/query.go
@@ -30,10 +30,10 @@
 
 // snapshot holds all data that a query may read, as of one moment.
 type snapshot struct {
-	world    *table.World
-	now      time.Time
-	loads    map[string]outcome.Load
-	unknowns []agent.UnknownCommand
+	world           *table.World
+	now             time.Time
+	loads           map[string]outcome.Load
+	unknownCommands []agent.UnknownCommand
 }
 
 // tables maps the name of a table to the function that returns its rows.
@@ -48,7 +48,7 @@
 	"workspaces": workspaces,
 	"history":    history, "commands": history, "command": history,
 	"rejected": rejected,
-	"unknown":  unknowns,
+	"unknown":  unknownCommands,
 	"alarms":   alarms,
 	"suspects": suspects,
 	"rollouts": rollouts,
@@ -61,7 +61,7 @@
 		names := slices.Sorted(maps.Keys(tables))
 		return nil, &badRequestError{step: "query", err: errors.Errorf("no table %q: the tables are %s", q.Table, strings.Join(names, ", "))}
 	}
-	snap := snapshot{now: time.Now(), loads: h.agent.Loads(), unknowns: h.agent.UnknownCommands()}
+	snap := snapshot{now: time.Now(), loads: h.agent.Loads(), unknownCommands: h.agent.UnknownCommands()}
 	var res result
 	var version uint64
 	h.agent.Inspect(func(w *table.World) {
@@ -282,7 +282,7 @@
 	for _, o := range s.world.Config.State.Outcomes {
 		r.add(o.ID, string(o.Status), formatVersion(o.Version), o.Author, strings.Join(o.Refs, "; "), o.Reason, formatVersion(o.BeatenBy))
 	}
-	for _, u := range s.unknowns {
+	for _, u := range s.unknownCommands {
 		r.add(u.ID, string(config.StatusUnknown), "-", u.Author, "", u.Reason, "-")
 	}
 	return r
@@ -294,9 +294,9 @@
 	return r
 }
 
-func unknowns(s snapshot) result {
+func unknownCommands(s snapshot) result {
 	r := result{columns: []string{"command", "author", "age", "reason"}}
-	for _, u := range s.unknowns {
+	for _, u := range s.unknownCommands {
 		r.add(u.ID, u.Author, s.now.Sub(u.At).Truncate(time.Second).String(), u.Reason)
 	}
 	return r
--- a/internal/admin/rollouts.go
+++ b/internal/admin/rollouts.go
@@ -31,9 +31,9 @@
 }
 
 // share returns the percentage of calls that the new version may get at present.
-func (s snapshot) share(r rollout.Record, stop string, age time.Duration) string {
+func (s snapshot) share(r rollout.Record, stopReason string, age time.Duration) string {
 	switch {
-	case r.Phase == rollout.Reverted || stop != "":
+	case r.Phase == rollout.Reverted || stopReason != "":
 		return "0%"
 	case r.Phase != rollout.Trying:
 		return "100%"
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -62,16 +62,16 @@
 
 // Agent is a running daemon.
 type Agent struct {
-	settings      settings.Settings
-	log           store.Log
-	logger        zerolog.Logger
-	metrics       metrics.Registry
-	configMetrics *configMetrics
-	source        DocumentSource
-	rolloutStatus StatusPublisher
-	self          wire.Member
-	clock         *event.Clock
-	events        *event.Ring
+	settings        settings.Settings
+	log             store.Log
+	logger          zerolog.Logger
+	metrics         metrics.Registry
+	configMetrics   *configMetrics
+	source          DocumentSource
+	statusPublisher StatusPublisher
+	self            wire.Member
+	clock           *event.Clock
+	events          *event.Ring
 
 	world *table.World
 	// suspects is shared by the entity tables and the call path.
@@ -129,7 +129,7 @@
 	}
 	now := time.Now()
 	a := &Agent{
-		settings: s, log: opts.Log, logger: opts.Logger, source: opts.Source, rolloutStatus: opts.StatusPublisher, metrics: metrics.NewRegistry(),
+		settings: s, log: opts.Log, logger: opts.Logger, source: opts.Source, statusPublisher: opts.StatusPublisher, metrics: metrics.NewRegistry(),
 		clock: event.NewClock(time.Now), listeners: ls,
 		inputs: make(chan system.Input, inputQueueSize),
 	}
--- a/internal/agent/configmetrics.go
+++ b/internal/agent/configmetrics.go
@@ -53,11 +53,11 @@
 // confirmedAgeMs returns how long ago the current version was last known to be the newest on
 // the store.
 func (m *configMetrics) confirmedAgeMs() int64 {
-	stamp := freshness.Timestamp(m.lastConfirmed.Load())
-	if stamp == 0 {
+	confirmed := freshness.Timestamp(m.lastConfirmed.Load())
+	if confirmed == 0 {
 		return -1
 	}
-	return stamp.Age(boottime.Now()).Milliseconds()
+	return confirmed.Age(boottime.Now()).Milliseconds()
 }
 
 // update copies the version, its freshness and its installation time after a tick.
--- a/internal/agent/local.go
+++ b/internal/agent/local.go
@@ -85,18 +85,18 @@
 
 // incarnationID returns the ID of one incarnation of an upstream. It is the plain name if the
 // upstream does not report its start time.
-func incarnationID(name string, born int64) string {
-	if born == 0 {
+func incarnationID(name string, startedMs int64) string {
+	if startedMs == 0 {
 		return name
 	}
-	return name + "@" + strconv.FormatInt(born, 10)
+	return name + "@" + strconv.FormatInt(startedMs, 10)
 }
 
 // localHandler serves the upstreams on this VM.
 func (a *Agent) localHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/upstreams", a.serveAnnounce)
-	mux.HandleFunc("DELETE /v1/upstreams/{id}", a.serveWithdraw)
+	mux.HandleFunc("DELETE /v1/upstreams/{id}", a.serveDeregister)
 	return mux
 }
 
@@ -139,12 +139,12 @@
 // Remove deregisters an upstream whose process is about to exit. When it returns, the upstream
 // gets no new calls, and a delayed announcement does not register it again. startedMs is the
 // start of the incarnation that exits, in Unix milliseconds, or zero for the registered one.
-func (a *Agent) Remove(id string, born int64) {
-	a.input(system.Removed{Name: a.upstreamName(id), StartedMs: born})
+func (a *Agent) Remove(id string, startedMs int64) {
+	a.input(system.Removed{Name: a.upstreamName(id), StartedMs: startedMs})
 	a.Inspect(noop)
 }
 
-func (a *Agent) serveWithdraw(w http.ResponseWriter, r *http.Request) {
+func (a *Agent) serveDeregister(w http.ResponseWriter, r *http.Request) {
 	a.Deregister(r.PathValue("id"))
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -196,19 +196,19 @@
 }
 
 func (a *Agent) readLog(from uint64) {
-	asked := boottime.Now()
+	startedAt := boottime.Now()
 	batch, err := a.log.Read(a.ctx, store.Query{Topic: store.ConfigTopic, From: from, Wait: logReadWait})
 	if err != nil {
 		sleep(a.ctx, readRetryDelay)
 	}
 	a.readingConfig.Store(false)
-	a.input(system.LogRead{From: from, Batch: batch, Err: err, StartedAt: asked})
+	a.input(system.LogRead{From: from, Batch: batch, Err: err, StartedAt: startedAt})
 }
 
 // readDocument reads the next document from the source, waiting up to wait for one later than
 // the last one read.
 func (a *Agent) readDocument(wait time.Duration) {
-	asked := boottime.Now()
+	startedAt := boottime.Now()
 	doc, orders, err := a.source.Next(a.ctx, wait)
 	if err != nil {
 		sleep(a.ctx, readRetryDelay)
@@ -217,7 +217,7 @@
 	if len(orders) > 0 {
 		a.input(system.OrdersRead{Orders: orders})
 	}
-	a.input(system.DocumentRead{Document: doc, Err: err, StartedAt: asked})
+	a.input(system.DocumentRead{Document: doc, Err: err, StartedAt: startedAt})
 }
 
 func (a *Agent) appendLog(topic string, data []byte) {
--- a/internal/agent/quarantine.go
+++ b/internal/agent/quarantine.go
@@ -35,11 +35,11 @@
 // next returns all records on the first call, and on later calls the records added since, as
 // soon as there are any or after quarantineReadWait.
 func (q *quarantineReader) next(ctx context.Context) system.QuarantineRead {
-	entries, whole, err := q.follower.Next(ctx, quarantineReadWait)
+	entries, complete, err := q.follower.Next(ctx, quarantineReadWait)
 	if err != nil {
 		return system.QuarantineRead{Err: err}
 	}
-	return system.QuarantineRead{Records: q.decode(entries), Complete: whole}
+	return system.QuarantineRead{Records: q.decode(entries), Complete: complete}
 }
 
 // decode returns the records of entries. An entry without a value is a record that was deleted.
--- a/internal/agent/rollout.go
+++ b/internal/agent/rollout.go
@@ -164,10 +164,10 @@
 // publishRolloutStatus publishes the phase of the stored rollout record for operators.
 func (a *Agent) publishRolloutStatus(r rollout.Record) {
 	err := a.callStore("tell of a roll-out", func(ctx context.Context) error {
-		if a.rolloutStatus == nil {
+		if a.statusPublisher == nil {
 			return nil
 		}
-		return a.rolloutStatus.Publish(ctx, r.Service, func(ctx context.Context) (_ rollout.Record, err error) {
+		return a.statusPublisher.Publish(ctx, r.Service, func(ctx context.Context) (_ rollout.Record, err error) {
 			r, err = a.storedRollout(ctx, r)
 			return r, err
 		})
--- a/internal/agent/rollout_test.go
+++ b/internal/agent/rollout_test.go
@@ -41,15 +41,15 @@
 	callsAfterStop atomic.Int64
 }
 
-func (s *upstreamVersion) serve(w http.ResponseWriter, _ *http.Request) {
-	if s.stopped.Load() {
-		s.callsAfterStop.Add(1)
+func (v *upstreamVersion) serve(w http.ResponseWriter, _ *http.Request) {
+	if v.stopped.Load() {
+		v.callsAfterStop.Add(1)
 		http.Error(w, "stopped", http.StatusInternalServerError)
 		return
 	}
-	s.runs.Add(1)
+	v.runs.Add(1)
 	time.Sleep(2 * time.Millisecond)
-	if rand.Int64N(100) < s.failPercent.Load() {
+	if rand.Int64N(100) < v.failPercent.Load() {
 		http.Error(w, "bad", http.StatusInternalServerError)
 	}
 }
@@ -165,8 +165,8 @@
 
 // rollOut orders a rollout of version v2 with the given duration and returns the final status
 // published for operators.
-func (f *rolloutFleet) rollOut(within time.Duration) string {
-	order := fmt.Sprintf(`{"service":"tickets","target_version":"v2","duration_s":%g}`, within.Seconds())
+func (f *rolloutFleet) rollOut(duration time.Duration) string {
+	order := fmt.Sprintf(`{"service":"tickets","target_version":"v2","duration_s":%g}`, duration.Seconds())
 	if err := f.log.AppendKeyed(context.Background(), "keyed.op", "rollout/tickets", []byte(order)); err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/config/normalize.go
+++ b/internal/config/normalize.go
@@ -57,8 +57,8 @@
 }
 
 // AddFlaw records a flaw.
-func (d *Document) AddFlaw(kind Kind, name, problem, instead string) {
-	d.Flaws = append(d.Flaws, Flaw{Entity: Ref{Kind: kind, Name: name}, Problem: problem, Resolution: instead})
+func (d *Document) AddFlaw(kind Kind, name, problem, resolution string) {
+	d.Flaws = append(d.Flaws, Flaw{Entity: Ref{Kind: kind, Name: name}, Problem: problem, Resolution: resolution})
 }
 
 // AddRoute adds a route. If its name is missing or taken, a name is made from its host and
