--- a/internal/admin/query.go
+++ b/internal/admin/query.go
@@ -95,7 +95,7 @@
 }
 
 // eachMember calls f for this daemon and for every other in its member table. age is the time
-// since the last heartbeat of the other daemon, and zero for this one.
+// since the other daemon's last renewal of its membership, and zero for this daemon.
 func (s snapshot) eachMember(f func(m wire.Member, state string, age time.Duration)) {
 	f(s.world.Self, memberState(s.world.Self.Leaving, false), 0)
 	for _, id := range slices.Sorted(maps.Keys(s.world.Members)) {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -292,8 +292,8 @@
 	}
 }
 
-// install puts a new view in force. The owner is updated before the ingress, so that it never
-// refuses calls which the ingress already routes by the new view.
+// install puts a new view in force. The owner is updated before the ingress, so that the
+// owner never refuses calls which the ingress already routes by the new view.
 func (a *Agent) install(v *view.View) {
 	if err := v.Consistent(); err != nil {
 		a.logger.Error().Str("step", "view").Err(err).Msg("new view is inconsistent; the previous one stays in force")
--- a/internal/agent/local.go
+++ b/internal/agent/local.go
@@ -33,8 +33,8 @@
 	Slots int `json:"slots"`
 	// Connections is the maximum number of connections to the upstream.
 	Connections int `json:"connections"`
-	// Process is the ID that is sent with calls to the upstream, if it checks that they are
-	// meant for its own process.
+	// Process is the ID of the upstream's process. It is sent with calls to the upstream, so
+	// that the upstream can reject calls that are meant for another process.
 	Process string `json:"-"`
 	// StartedMs is when this incarnation of the upstream started, in Unix milliseconds, or
 	// zero if unknown. If it is known, a later value under the same ID means another
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -20,13 +20,13 @@
 	a.stopping.Store(true)
 	a.ready.Store(false)
 	a.ingress.CloseConnections()
-	cancelRuns := time.AfterFunc(plan.runsUntil, a.ingress.EndCalls)
-	defer cancelRuns.Stop()
+	cancelCalls := time.AfterFunc(plan.attemptsUntil, a.ingress.EndCalls)
+	defer cancelCalls.Stop()
 	sleep(ctx, plan.callersUntil)
 	a.ingress.RefuseNewCalls()
 	a.awaitCallers(ctx, began.Add(plan.peersUntil))
 	a.announceLeave(ctx)
-	a.await(ctx, began.Add(plan.runsUntil), a.idle)
+	a.await(ctx, began.Add(plan.attemptsUntil), a.idle)
 	ctx, cancel := context.WithDeadline(ctx, began.Add(plan.closeAt))
 	defer cancel()
 	err := a.closeServers(ctx)
@@ -40,8 +40,8 @@
 	callersUntil time.Duration
 	// peersUntil is how long attempts from other daemons are accepted for the upstreams here.
 	peersUntil time.Duration
-	// runsUntil is how long running attempts may continue. The rest is then cancelled.
-	runsUntil time.Duration
+	// attemptsUntil is how long running attempts may continue. The rest is then cancelled.
+	attemptsUntil time.Duration
 	// closeAt is when all connections are closed.
 	closeAt time.Duration
 }
@@ -51,26 +51,26 @@
 const (
 	// callersFraction bounds calls.drain if bounds.stop is short.
 	callersFraction = 0.4
-	// peersFraction splits the time between accepting attempts and letting them finish, so
-	// that accepted attempts have about as long to finish as new ones were accepted: of 6 s
-	// 2.1 s are left, for attempts that run up to 0.8 s; of 10 s 3.5 s are left, for attempts
-	// that run up to 4.4 s.
+	// peersFraction splits the time between accepting attempts and letting them finish. The
+	// time left until attemptsFraction is 2.1 s of 6 s, for attempts that run up to 0.8 s, and
+	// 3.5 s of 10 s, for attempts that run up to 4.4 s.
 	peersFraction = 0.5
-	// runsFraction is above 5/6: the platform that stops the process relies on the process
+	// attemptsFraction is above 5/6: the platform that stops the process relies on the process
 	// waiting for running attempts until 5/6 of bounds.stop.
-	runsFraction = 0.85
+	attemptsFraction = 0.85
 	// closeFraction leaves 0.4 s of 6 s after running attempts are cancelled: time to send an
-	// owner an inquiry whether a call has run, and to answer the caller.
+	// owner an inquiry about whether a call has run, and to answer the caller.
 	closeFraction = 0.92
 )
 
 // planStop divides the total time for a stop into its steps. Callers are served for
-// callerDrain, the time they need to notice that a daemon is stopping, if there is enough time.
-func planStop(total, callerDrain time.Duration) stopPlan {
+// drainTime, the time that they need to notice that a daemon is stopping, but no longer than
+// callersFraction of the total.
+func planStop(total, drainTime time.Duration) stopPlan {
 	part := func(fraction float64) time.Duration { return time.Duration(fraction * float64(total)) }
 	return stopPlan{
-		callersUntil: min(callerDrain, part(callersFraction)), peersUntil: part(peersFraction),
-		runsUntil: part(runsFraction), closeAt: part(closeFraction),
+		callersUntil: min(drainTime, part(callersFraction)), peersUntil: part(peersFraction),
+		attemptsUntil: part(attemptsFraction), closeAt: part(closeFraction),
 	}
 }
 
--- a/internal/agent/stop_test.go
+++ b/internal/agent/stop_test.go
@@ -15,10 +15,10 @@
 	is := is.New(t)
 	const callers = 2500 * time.Millisecond
 	six, ten := planStop(6*time.Second, callers), planStop(10*time.Second, callers)
-	is.Equal(six, stopPlan{callersUntil: 2400 * time.Millisecond, peersUntil: 3 * time.Second, runsUntil: 5100 * time.Millisecond, closeAt: 5520 * time.Millisecond})
-	is.Equal(ten, stopPlan{callersUntil: callers, peersUntil: 5 * time.Second, runsUntil: 8500 * time.Millisecond, closeAt: 9200 * time.Millisecond})
+	is.Equal(six, stopPlan{callersUntil: 2400 * time.Millisecond, peersUntil: 3 * time.Second, attemptsUntil: 5100 * time.Millisecond, closeAt: 5520 * time.Millisecond})
+	is.Equal(ten, stopPlan{callersUntil: callers, peersUntil: 5 * time.Second, attemptsUntil: 8500 * time.Millisecond, closeAt: 9200 * time.Millisecond})
 	const began, longest = time.Second, 4400 * time.Millisecond
-	is.True(ten.runsUntil > began+longest)
+	is.True(ten.attemptsUntil > began+longest)
 }
 
 // TestStopPlanStaysWithinBound checks for any bound that the steps of a stop follow each other,
@@ -29,11 +29,11 @@
 		total := time.Duration(rapid.Int64Range(int64(time.Second), int64(time.Hour)).Draw(t, "total"))
 		callers := time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "callers"))
 		p := planStop(total, callers)
-		if p.callersUntil > p.peersUntil || p.peersUntil >= p.runsUntil || p.runsUntil >= p.closeAt || p.closeAt > total*24/25 {
+		if p.callersUntil > p.peersUntil || p.peersUntil >= p.attemptsUntil || p.attemptsUntil >= p.closeAt || p.closeAt > total*24/25 {
 			t.Fatalf("stop plan %v: want ordered steps that end within 24/25 of %v", p, total)
 		}
-		if p.runsUntil < total*5/6 {
-			t.Fatalf("running attempts are cancelled after %v: want at least 5/6 of %v", p.runsUntil, total)
+		if p.attemptsUntil < total*5/6 {
+			t.Fatalf("running attempts are cancelled after %v: want at least 5/6 of %v", p.attemptsUntil, total)
 		}
 	})
 }
--- a/internal/agent/suspects_test.go
+++ b/internal/agent/suspects_test.go
@@ -11,8 +11,9 @@
 
 // TestSuspectsReachAllDaemonsWithinMilliseconds records a crash under each of 16 requests on
 // one of 93 daemons in seven failure domains, connected over real sockets, and measures when
-// the last daemon learns of these suspects. Each copy of a poison request that arrives before then
-// crashes another upstream; an observed one arrived every 125 ms and ran for 50 ms.
+// the last daemon learns of these suspects. Each copy of a poison request that
+// arrives before then crashes another upstream; copies of an observed one arrived every
+// 125 ms and ran for 50 ms each.
 func TestSuspectsReachAllDaemonsWithinMilliseconds(t *testing.T) {
 	const fleetSize, rounds, within = 93, 5, 50 * time.Millisecond
 	f := startFleet(t, fleetSize, nil)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -55,7 +55,8 @@
 	Admin string `yaml:"admin"`
 	// Peers accepts control connections from other daemons. Default: 127.0.0.1:8082.
 	Peers string `yaml:"peers"`
-	// Owner accepts calls forwarded by other daemons. Default: 127.0.0.1:8083.
+	// Owner accepts attempts and inquiries from other daemons, for the upstreams on this
+	// VM. Default: 127.0.0.1:8083.
 	Owner string `yaml:"owner"`
 	// Local accepts the announcements of this VM's upstreams; it must be a loopback
 	// address. Default: 127.0.0.1:8084.
@@ -144,7 +145,8 @@
 	// Fanout is the maximum number of children of a daemon in the distribution tree.
 	// Default: 8.
 	Fanout int `yaml:"fanout"`
-	// Roots is how many daemons of each failure domain read the log. Default: 2.
+	// Roots is the number of roots of the distribution tree in each failure domain: the
+	// daemons that read the log. Default: 2.
 	Roots int `yaml:"roots"`
 	// Heartbeat is the interval of heartbeats on a control connection. Default: 2s.
 	Heartbeat Duration `yaml:"heartbeat"`
@@ -183,8 +185,8 @@
 	// UpstreamIdle is how long an idle connection to an upstream is kept. It must be
 	// shorter than the upstream's own idle timeout. Default: 20s.
 	UpstreamIdle Duration `yaml:"upstream_idle"`
-	// InquireAfter is the time after which the owner of an unanswered call is asked about
-	// it over a new connection. Default: 1s.
+	// InquireAfter is the time after which an inquiry about an unanswered attempt is sent
+	// to its owner over a new connection. Default: 1s.
 	InquireAfter Duration `yaml:"inquire_after"`
 	// RetryRatio is how many retries per call a service may get, from all daemons
 	// together. Default: 0.1.
