--- a/internal/agent/decode.go
+++ b/internal/agent/decode.go
@@ -7,8 +7,8 @@
 )
 
 // decodeRecords returns the records that decode accepts among the entries of a topic. Entries
-// that are not valid, such as those of another writer, are skipped and counted in one log line;
-// the others are used.
+// that are not valid, such as those of another writer, are skipped, and their number is logged
+// in one line.
 func decodeRecords[T any](entries []store.Entry, logger zerolog.Logger, step, what string, decode func(store.Entry) (T, bool)) []T {
 	var list []T
 	for _, e := range entries {
--- a/internal/agent/fleet_test.go
+++ b/internal/agent/fleet_test.go
@@ -37,8 +37,8 @@
 	tune   func(*settings.Settings)
 }
 
-// startFleet starts n daemons and waits until each knows all others. Tune may change the
-// settings of each; nil leaves them as they are.
+// startFleet starts n daemons and waits until each knows all others. The function tune may
+// change the settings of each daemon; if it is nil, they stay as they are.
 func startFleet(t testing.TB, n int, tune func(*settings.Settings)) *fleet {
 	t.Helper()
 	f := &fleet{t: t, log: devlog.New(), tune: tune}
@@ -59,8 +59,8 @@
 	})
 }
 
-// restart kills all daemons at once and starts as many at once, with new addresses, as
-// replaced VMs would have.
+// restart kills all daemons at once and starts as many at once, with new addresses like those
+// of replaced VMs.
 func (f *fleet) restart() {
 	n := len(f.agents)
 	f.close()
--- a/internal/agent/rollout.go
+++ b/internal/agent/rollout.go
@@ -59,7 +59,7 @@
 }
 
 // proposeRollout writes a record to the store if it follows the stored one and no other daemon
-// writes to the topic meanwhile. The daemon then adopts the stored record, whichever it is. If
+// writes to the topic meanwhile. The daemon then adopts the record that the store has. If
 // the result is unknown, as after a lost answer, a later tick requests the write again.
 func (a *Agent) proposeRollout(r rollout.Record) {
 	// callStore has logged errors of the store.
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -83,9 +83,9 @@
 )
 
 // awaitCallers waits until no calls arrive or are in progress here, at most until the given
-// time. Some callers are not told that this daemon is stopping, or have no other daemon to
-// use. Their calls are refused as not run with a time to retry after, which a closed listener
-// could not send. The upstreams here keep serving other daemons meanwhile.
+// time. Some callers do not learn that this daemon is stopping, or have no other daemon to
+// use. Their calls are refused as not run, with a time to retry after. A closed listener could
+// not send that time. Meanwhile the upstreams here keep serving other daemons.
 func (a *Agent) awaitCallers(ctx context.Context, until time.Time) {
 	a.await(ctx, until, func() bool { return a.ingress.IdleTime() > callerIdlePeriod })
 }
--- a/internal/config/delta.go
+++ b/internal/config/delta.go
@@ -178,7 +178,7 @@
 		}
 	}
 	if slices.ContainsFunc(d.Removed, Ref.referencedByRoutes) {
-		return c.checkRoutes(Content.checkRoute) // any route may refer to a removed entity
+		return c.checkRoutes(Content.checkRoute) // any route may still refer to a removed entity
 	}
 	for _, name := range sortedKeys(d.Routes) {
 		if err := c.checkRoute(d.Routes[name]); err != nil {
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -17,8 +17,9 @@
 	Flaws []Flaw
 }
 
-// InvalidError is the reason why a document that was read cannot be used. Its source is
-// reachable, so reading it again does not help; only a later document does.
+// InvalidError is the reason why a document that was read cannot be used. The document's
+// source is reachable, so reading the same document again does not help; only a later
+// document does.
 type InvalidError struct{ Err error }
 
 // Error implements error.
--- a/internal/dev/upstream.go
+++ b/internal/dev/upstream.go
@@ -25,7 +25,7 @@
 const (
 	// faultySuffix ends the names of versions whose upstreams fail part of their calls.
 	faultySuffix = "-bad"
-	// failureInterval is how often these upstreams fail: one answer in so many.
+	// failureInterval is the number of calls to such an upstream of which one fails.
 	failureInterval = 3
 )
 
--- a/internal/devlog/devlog.go
+++ b/internal/devlog/devlog.go
@@ -29,7 +29,8 @@
 	Down bool `json:"down"`
 	// DelayMs is added to every operation.
 	DelayMs int `json:"delay_ms"`
-	// LoseAnswers is how many of the next appends take effect but report a failure.
+	// LoseAnswers is the number of appends, from the next one on, that take effect but report
+	// a failure.
 	LoseAnswers int `json:"lose_answers"`
 }
 
