--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -45,8 +45,8 @@
 }
 
 // Inspect calls run with the entity tables between two ticks, after the inputs that were
-// queued before have been applied. The function run must not keep references to the tables. Inspect returns
-// false if the daemon has stopped.
+// queued before have been applied. The function run must not keep references to the tables.
+// Inspect returns false if the daemon has stopped.
 func (a *Agent) Inspect(run func(*table.World)) bool {
 	in := inspection{run: run, done: make(chan struct{})}
 	a.input(in)
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -16,7 +16,7 @@
 func (a *Agent) Shutdown(ctx context.Context) error {
 	began := time.Now()
 	plan := planStop(time.Duration(a.settings.Bounds.Stop), time.Duration(a.settings.Calls.Drain))
-	a.logger.Info().Str("step", "drain").Dur("end_ms", plan.closeAt).Msg("daemon is stopping gracefully")
+	a.logger.Info().Str("step", "drain").Dur("end_ms", plan.closeAt).Msg("stopping")
 	a.stopping.Store(true)
 	a.ready.Store(false)
 	a.ingress.CloseConnections()
