--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -53,7 +53,8 @@
 	// Source delivers the configuration. If nil, the configuration is built from the commands
 	// on the log.
 	Source DocumentSource
-	// StatusPublisher publishes the status of rollouts for operators. If nil, operators query a daemon.
+	// StatusPublisher publishes the status of rollouts for operators. If nil, operators query
+	// a daemon.
 	StatusPublisher StatusPublisher
 	// Dialect names the HTTP headers used with callers and upstreams.
 	Dialect callpath.Dialect
@@ -61,22 +62,22 @@
 
 // Agent is a running daemon.
 type Agent struct {
-	settings      settings.Settings
-	log           store.Log
-	logger        zerolog.Logger
-	metrics       metrics.Registry
-	configMetrics *configMetrics
-	source        DocumentSource
-	rolloutStatus StatusPublisher
-	self          wire.Member
-	clock         *event.Clock
-	events        *event.Ring
+	settings        settings.Settings
+	log             store.Log
+	logger          zerolog.Logger
+	metrics         metrics.Registry
+	configMetrics   *configMetrics
+	source          DocumentSource
+	statusPublisher StatusPublisher
+	self            wire.Member
+	clock           *event.Clock
+	events          *event.Ring
 
 	world *table.World
 	// suspects is shared by the entity tables and the call path.
 	suspects   *suspect.Table
 	quarantine quarantineReader
-	// view is the view in force. Only loop uses it.
+	// view is the view in force. Only the loop goroutine uses it.
 	view      *view.View
 	transport *peer.Transport
 	owner     *callpath.Owner
@@ -128,7 +129,7 @@
 	}
 	now := time.Now()
 	a := &Agent{
-		settings: s, log: opts.Log, logger: opts.Logger, source: opts.Source, rolloutStatus: opts.StatusPublisher, metrics: metrics.NewRegistry(),
+		settings: s, log: opts.Log, logger: opts.Logger, source: opts.Source, statusPublisher: opts.StatusPublisher, metrics: metrics.NewRegistry(),
 		clock: event.NewClock(time.Now), listeners: ls,
 		inputs: make(chan system.Input, inputQueueSize),
 	}
@@ -223,14 +224,14 @@
 func (a *Agent) Metrics() metrics.Registry { return a.metrics }
 
 // Loads returns the load of each upstream on this VM, and the loads that other owners
-// reported within the last seconds for theirs.
+// recently reported for their upstreams.
 func (a *Agent) Loads() map[string]outcome.Load {
 	loads := a.ingress.Loads()
 	maps.Copy(loads, a.owner.Loads())
 	return loads
 }
 
-// Start starts the control loop and serves all listeners. Admin is the handler of the
+// Start starts the control loop and serves all listeners. The handler admin serves the
 // administration API.
 func (a *Agent) Start(admin http.Handler) {
 	a.events.Add(event.Event{Kind: event.Started})
@@ -291,8 +292,8 @@
 	}
 }
 
-// install puts a new view in force. The owner is updated before the ingress, so that it never
-// refuses calls which the ingress already routes by the new view.
+// install puts a new view in force. The owner is updated before the ingress, so that the
+// owner never refuses calls which the ingress already routes by the new view.
 func (a *Agent) install(v *view.View) {
 	if err := v.Consistent(); err != nil {
 		a.logger.Error().Str("step", "view").Err(err).Msg("new view is inconsistent; the previous one stays in force")
@@ -309,8 +310,8 @@
 // stopping.
 func (a *Agent) Ready() bool { return a.ready.Load() && !a.ingress.Stale() }
 
-// Listen opens a listener besides the agent's own interfaces and serves h on it. It is closed
-// with the others.
+// Listen opens a listener besides the agent's own interfaces and serves h on it. The listener
+// is closed together with the agent's own.
 func (a *Agent) Listen(name, addr string, h http.Handler) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/agent/configmetrics.go
+++ b/internal/agent/configmetrics.go
@@ -18,7 +18,8 @@
 type configMetrics struct {
 	version atomic.Uint64
 	// installedAtMs is when the current version was installed, in Unix milliseconds.
-	// lastConfirmed is the freshness.Stamp at which it was last known to be the newest.
+	// lastConfirmed is the freshness.Timestamp at which the current version was last known to
+	// be the newest.
 	installedAtMs atomic.Int64
 	lastConfirmed atomic.Int64
 	// documentsRead counts the documents read, including those counted in documentsRefused,
@@ -52,11 +53,11 @@
 // confirmedAgeMs returns how long ago the current version was last known to be the newest on
 // the store.
 func (m *configMetrics) confirmedAgeMs() int64 {
-	stamp := freshness.Timestamp(m.lastConfirmed.Load())
-	if stamp == 0 {
+	confirmed := freshness.Timestamp(m.lastConfirmed.Load())
+	if confirmed == 0 {
 		return -1
 	}
-	return stamp.Age(boottime.Now()).Milliseconds()
+	return confirmed.Age(boottime.Now()).Milliseconds()
 }
 
 // update copies the version, its freshness and its installation time after a tick.
--- a/internal/agent/local.go
+++ b/internal/agent/local.go
@@ -20,9 +20,9 @@
 type Announcement struct {
 	// ID identifies the upstream. It is unique on the VM.
 	ID string `json:"id"`
-	// Incarnation identifies the incarnation of the upstream: it differs between two processes that
-	// announce the same ID, so that a restarted upstream is not mistaken for the previous one.
-	// It may be any text.
+	// Incarnation identifies the process that runs the upstream. It differs between two
+	// processes that announce the same ID, so that a restarted upstream is not mistaken for
+	// the previous one. It may be any text.
 	Incarnation string `json:"life"`
 	Service     string `json:"service"`
 	// Version is the version of the upstream's software: any text, or "".
@@ -33,11 +33,12 @@
 	Slots int `json:"slots"`
 	// Connections is the maximum number of connections to the upstream.
 	Connections int `json:"connections"`
-	// Process is the ID that is sent with calls to the upstream, if it checks that they are
-	// meant for its own process.
+	// Process is the ID of the upstream's process. It is sent with calls to the upstream, so
+	// that the upstream can reject calls that are meant for another process.
 	Process string `json:"-"`
-	// StartedMs is when this incarnation of the upstream started, in Unix milliseconds, or zero if
-	// unknown. If known, a later value under the same ID is another incarnation.
+	// StartedMs is when this incarnation of the upstream started, in Unix milliseconds, or
+	// zero if unknown. If it is known, a later value under the same ID means another
+	// incarnation.
 	StartedMs int64 `json:"-"`
 	// Draining is set if the upstream accepts no new calls.
 	Draining bool `json:"-"`
@@ -84,18 +85,18 @@
 
 // incarnationID returns the ID of one incarnation of an upstream. It is the plain name if the
 // upstream does not report its start time.
-func incarnationID(name string, born int64) string {
-	if born == 0 {
+func incarnationID(name string, startedMs int64) string {
+	if startedMs == 0 {
 		return name
 	}
-	return name + "@" + strconv.FormatInt(born, 10)
+	return name + "@" + strconv.FormatInt(startedMs, 10)
 }
 
 // localHandler serves the upstreams on this VM.
 func (a *Agent) localHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/upstreams", a.serveAnnounce)
-	mux.HandleFunc("DELETE /v1/upstreams/{id}", a.serveWithdraw)
+	mux.HandleFunc("DELETE /v1/upstreams/{id}", a.serveDeregister)
 	return mux
 }
 
@@ -136,14 +137,14 @@
 }
 
 // Remove deregisters an upstream whose process is about to exit. When it returns, the upstream
-// gets no new calls, and a delayed announcement does not register it again. Born is the start
-// of the incarnation that exits; zero: the registered one.
-func (a *Agent) Remove(id string, born int64) {
-	a.input(system.Removed{Name: a.upstreamName(id), StartedMs: born})
+// gets no new calls, and a delayed announcement does not register it again. startedMs is the
+// start of the incarnation that exits, in Unix milliseconds, or zero for the registered one.
+func (a *Agent) Remove(id string, startedMs int64) {
+	a.input(system.Removed{Name: a.upstreamName(id), StartedMs: startedMs})
 	a.Inspect(noop)
 }
 
-func (a *Agent) serveWithdraw(w http.ResponseWriter, r *http.Request) {
+func (a *Agent) serveDeregister(w http.ResponseWriter, r *http.Request) {
 	a.Deregister(r.PathValue("id"))
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/agent/quarantine.go
+++ b/internal/agent/quarantine.go
@@ -35,11 +35,11 @@
 // next returns all records on the first call, and on later calls the records added since, as
 // soon as there are any or after quarantineReadWait.
 func (q *quarantineReader) next(ctx context.Context) system.QuarantineRead {
-	entries, whole, err := q.follower.Next(ctx, quarantineReadWait)
+	entries, complete, err := q.follower.Next(ctx, quarantineReadWait)
 	if err != nil {
 		return system.QuarantineRead{Err: err}
 	}
-	return system.QuarantineRead{Records: q.decode(entries), Complete: whole}
+	return system.QuarantineRead{Records: q.decode(entries), Complete: complete}
 }
 
 // decode returns the records of entries. An entry without a value is a record that was deleted.
@@ -80,7 +80,8 @@
 }
 
 // handleQuarantineRequests performs what a tick requested for quarantined requests: reads and
-// writes of the store's records, and the check whether the owner can clear a new one.
+// writes of the store's records, and the check whether the owner can clear a newly
+// quarantined request.
 func (a *Agent) handleQuarantineRequests(out system.Outbox) {
 	if out.ReadQuarantine && a.readingQuarantine.CompareAndSwap(false, true) {
 		go a.readQuarantine()
--- a/internal/agent/rollout.go
+++ b/internal/agent/rollout.go
@@ -59,7 +59,7 @@
 }
 
 // proposeRollout writes a record to the store if it follows the stored one and no other daemon
-// writes to the topic meanwhile. The daemon then adopts the stored record, whichever it is. If
+// writes to the topic meanwhile. The daemon then adopts the record that the store has. If
 // the result is unknown, as after a lost answer, a later tick requests the write again.
 func (a *Agent) proposeRollout(r rollout.Record) {
 	// callStore has logged errors of the store.
@@ -164,10 +164,10 @@
 // publishRolloutStatus publishes the phase of the stored rollout record for operators.
 func (a *Agent) publishRolloutStatus(r rollout.Record) {
 	err := a.callStore("tell of a roll-out", func(ctx context.Context) error {
-		if a.rolloutStatus == nil {
+		if a.statusPublisher == nil {
 			return nil
 		}
-		return a.rolloutStatus.Publish(ctx, r.Service, func(ctx context.Context) (_ rollout.Record, err error) {
+		return a.statusPublisher.Publish(ctx, r.Service, func(ctx context.Context) (_ rollout.Record, err error) {
 			r, err = a.storedRollout(ctx, r)
 			return r, err
 		})
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -16,17 +16,17 @@
 func (a *Agent) Shutdown(ctx context.Context) error {
 	began := time.Now()
 	plan := planStop(time.Duration(a.settings.Bounds.Stop), time.Duration(a.settings.Calls.Drain))
-	a.logger.Info().Str("step", "drain").Dur("end_ms", plan.closeAt).Msg("daemon is stopping gracefully")
+	a.logger.Info().Str("step", "drain").Dur("end_ms", plan.closeAt).Msg("stopping")
 	a.stopping.Store(true)
 	a.ready.Store(false)
 	a.ingress.CloseConnections()
-	cancelRuns := time.AfterFunc(plan.runsUntil, a.ingress.EndCalls)
-	defer cancelRuns.Stop()
+	cancelCalls := time.AfterFunc(plan.attemptsUntil, a.ingress.EndCalls)
+	defer cancelCalls.Stop()
 	sleep(ctx, plan.callersUntil)
 	a.ingress.RefuseNewCalls()
 	a.awaitCallers(ctx, began.Add(plan.peersUntil))
 	a.announceLeave(ctx)
-	a.await(ctx, began.Add(plan.runsUntil), a.idle)
+	a.await(ctx, began.Add(plan.attemptsUntil), a.idle)
 	ctx, cancel := context.WithDeadline(ctx, began.Add(plan.closeAt))
 	defer cancel()
 	err := a.closeServers(ctx)
@@ -40,8 +40,8 @@
 	callersUntil time.Duration
 	// peersUntil is how long attempts from other daemons are accepted for the upstreams here.
 	peersUntil time.Duration
-	// runsUntil is how long running attempts may continue. The rest is then cancelled.
-	runsUntil time.Duration
+	// attemptsUntil is how long running attempts may continue. The rest is then cancelled.
+	attemptsUntil time.Duration
 	// closeAt is when all connections are closed.
 	closeAt time.Duration
 }
@@ -51,25 +51,26 @@
 const (
 	// callersFraction bounds calls.drain if bounds.stop is short.
 	callersFraction = 0.4
-	// peersFraction splits the time between accepting attempts and letting them finish: of 6 s
-	// it leaves 2.1 s, for attempts that run up to 0.8 s; of 10 s it leaves 3.5 s, for attempts
-	// that run up to 4.4 s.
+	// peersFraction splits the time between accepting attempts and letting them finish. The
+	// time left until attemptsFraction is 2.1 s of 6 s, for attempts that run up to 0.8 s, and
+	// 3.5 s of 10 s, for attempts that run up to 4.4 s.
 	peersFraction = 0.5
-	// runsFraction is above 5/6: whoever stops the process relies on running attempts being
-	// waited for until then.
-	runsFraction = 0.85
-	// closeFraction leaves 0.4 s of 6 s, after running attempts are cancelled, for the last
-	// answers: time to ask an owner whether a call has run and to answer the caller.
+	// attemptsFraction is above 5/6: the platform that stops the process relies on the process
+	// waiting for running attempts until 5/6 of bounds.stop.
+	attemptsFraction = 0.85
+	// closeFraction leaves 0.4 s of 6 s after running attempts are cancelled: time to send an
+	// owner an inquiry about whether a call has run, and to answer the caller.
 	closeFraction = 0.92
 )
 
 // planStop divides the total time for a stop into its steps. Callers are served for
-// callerDrain, the time they need to notice that a daemon is stopping, if there is enough time.
-func planStop(total, callerDrain time.Duration) stopPlan {
+// drainTime, the time that they need to notice that a daemon is stopping, but no longer than
+// callersFraction of the total.
+func planStop(total, drainTime time.Duration) stopPlan {
 	part := func(fraction float64) time.Duration { return time.Duration(fraction * float64(total)) }
 	return stopPlan{
-		callersUntil: min(callerDrain, part(callersFraction)), peersUntil: part(peersFraction),
-		runsUntil: part(runsFraction), closeAt: part(closeFraction),
+		callersUntil: min(drainTime, part(callersFraction)), peersUntil: part(peersFraction),
+		attemptsUntil: part(attemptsFraction), closeAt: part(closeFraction),
 	}
 }
 
@@ -82,9 +83,9 @@
 )
 
 // awaitCallers waits until no calls arrive or are in progress here, at most until the given
-// time. Some callers are not told that this daemon is stopping, or have no other daemon to
-// use. Their calls are refused as not run with a time to retry after, which a closed listener
-// could not send. The upstreams here keep serving other daemons meanwhile.
+// time. Some callers do not learn that this daemon is stopping, or have no other daemon to
+// use. Their calls are refused as not run, with a time to retry after. A closed listener could
+// not send that time. Meanwhile the upstreams here keep serving other daemons.
 func (a *Agent) awaitCallers(ctx context.Context, until time.Time) {
 	a.await(ctx, until, func() bool { return a.ingress.IdleTime() > callerIdlePeriod })
 }
--- a/internal/config/normalize.go
+++ b/internal/config/normalize.go
@@ -10,7 +10,7 @@
 // Flaw is a part of a document that cannot be applied as written.
 type Flaw struct {
 	Entity Ref
-	// Problem describes what is wrong, Instead what is applied in its place.
+	// Problem describes what is wrong, Resolution what is applied in its place.
 	Problem    string
 	Resolution string
 }
@@ -36,8 +36,8 @@
 // Normalize changes the content so that it can be put in force, whatever the document
 // contains. Each entity that cannot be applied as written is adjusted as little as
 // possible, and each adjustment is recorded as a flaw. Rejecting the document is not an
-// option: whoever accepted it can no longer be told, and one invalid entity must not hold
-// back the others.
+// option: the system that accepted it can no longer be told of a rejection, and one
+// invalid entity must not keep the others from being applied.
 func (d *Document) Normalize() {
 	d.normalizeLimits()
 	for name, s := range d.Content.Services {
@@ -57,8 +57,8 @@
 }
 
 // AddFlaw records a flaw.
-func (d *Document) AddFlaw(kind Kind, name, problem, instead string) {
-	d.Flaws = append(d.Flaws, Flaw{Entity: Ref{Kind: kind, Name: name}, Problem: problem, Resolution: instead})
+func (d *Document) AddFlaw(kind Kind, name, problem, resolution string) {
+	d.Flaws = append(d.Flaws, Flaw{Entity: Ref{Kind: kind, Name: name}, Problem: problem, Resolution: resolution})
 }
 
 // AddRoute adds a route. If its name is missing or taken, a name is made from its host and
