--- a/internal/callpath/attempt.go
+++ b/internal/callpath/attempt.go
@@ -44,7 +44,8 @@
 	headerUpstream    = "Comfrey-Upstream"
 	headerIncarnation = "Comfrey-Incarnation"
 	headerUrgency     = "Comfrey-Urgency"
-	// headerNested is present on nested calls. Its value is Attempt.ParentServed.
+	// headerNested is present on nested calls. Its value is
+	// Attempt.ParentServedPermille.
 	headerNested = "Comfrey-Nested"
 	// headerFlow holds Attempt.Flow if that differs from the workspace.
 	headerFlow = "Comfrey-Flow"
@@ -98,8 +99,8 @@
 	// Nested is set if an upstream makes the call for a request that it is running, the
 	// parent request.
 	Nested bool
-	// ParentServedPermille is the fraction of recent calls to the parent request's upstream that
-	// were served, in permille. It is set on nested calls only.
+	// ParentServedPermille is the recently served fraction, in permille, of the calls at the
+	// parent request's upstream that are not nested. It is set on nested calls only.
 	ParentServedPermille int
 	// WaitFraction is the result of Dialect.waitFraction for Request. It is set on nested
 	// calls only.
--- a/internal/callpath/fleet_sim_test.go
+++ b/internal/callpath/fleet_sim_test.go
@@ -87,7 +87,8 @@
 	// one request.
 	poison bool
 
-	// callerRetries counts the calls that callers sent again after a refusal.
+	// sent counts the calls of the kind, inTime, late, refused and failed count their
+	// results, and callerRetries counts the calls that callers sent again after a refusal.
 	sent, inTime, late, refused, failed, callerRetries int
 }
 
@@ -529,8 +530,8 @@
 	})
 }
 
-// submitNested sends a nested call of a running request. done gets the status with which
-// the call lets that request go on or fail.
+// submitNested sends a nested call of a running request. done is called with the status by
+// which that request continues or fails.
 func (s *fleetSim) submitNested(vm *simVM, k *simKind, deadline time.Time, parent *simParent, done func(status int)) {
 	k.sent++
 	if own := s.now.Add(k.deadline); own.Before(deadline) {
--- a/internal/callpath/overload_test.go
+++ b/internal/callpath/overload_test.go
@@ -39,7 +39,7 @@
 	runs     atomic.Int64
 	peak     atomic.Int64
 	inFlight atomic.Int64
-	// startedAt is when the upstream announced itself, as told to its owner.
+	// startedAt is when the upstream announced itself, according to the views.
 	startedAt time.Time
 	slots     int
 }
--- a/internal/callpath/remote.go
+++ b/internal/callpath/remote.go
@@ -250,8 +250,8 @@
 	return out
 }
 
-// lostConnection returns the result of an attempt that may have run and whose owner could
-// not tell.
+// lostConnection returns the result of an attempt that may have run, and whose owner has
+// not confirmed that it did not.
 func lostConnection(reason outcome.Reason, err error) outcome.Result {
 	out := outcome.MayHaveRun(reason, err)
 	out.Lost = true
--- a/internal/callpath/suspects.go
+++ b/internal/callpath/suspects.go
@@ -24,8 +24,8 @@
 const quarantineSettleTime = time.Second
 
 // quarantined reports whether an attempt's request is quarantined, and the refusal to
-// return for it. A settled quarantine asks callers for the longest wait: retrying soon is
-// of no use until the upstream or the caller has been repaired.
+// return for it. Once the quarantine is settled, the refusal has the longest retry-after
+// time: retrying soon is of no use until the upstream or the caller has been repaired.
 func quarantined(t *suspect.Table, a *Attempt, now time.Time) (outcome.Result, bool) {
 	rec := suspectRecord(t, a)
 	if !rec.Quarantined() {
--- a/internal/config/normalize.go
+++ b/internal/config/normalize.go
@@ -36,8 +36,8 @@
 // Normalize changes the content so that it can be put in force, whatever the document
 // contains. Each entity that cannot be applied as written is adjusted as little as
 // possible, and each adjustment is recorded as a flaw. Rejecting the document is not an
-// option: the system that accepted it can no longer be told of a rejection, and one
-// invalid entity must not keep the others from being applied.
+// option: the system that accepted it can no longer be notified of that, and one invalid
+// entity must not keep the others from being applied.
 func (d *Document) Normalize() {
 	d.normalizeLimits()
 	for name, s := range d.Content.Services {
--- a/internal/config/workspace.go
+++ b/internal/config/workspace.go
@@ -17,7 +17,7 @@
 	KeyHashes []string `json:"key_hashes,omitempty"`
 	// Urgency takes precedence over that of a call's route. Zero: the route's applies.
 	Urgency Urgency `json:"urgency,omitempty"`
-	// Rate is how many calls per second all daemons together may let in. Zero: no limit.
+	// Rate is how many calls per second all daemons together may admit. Zero: no limit.
 	Rate float64 `json:"rate,omitempty"`
 	// Burst is how many calls beyond the rate may arrive at once.
 	Burst float64 `json:"burst,omitempty"`
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -13,9 +13,9 @@
 func TestTimestampIsFreshWithinBound(t *testing.T) {
 	is := is.New(t)
 	const bound = 5 * time.Second
-	s := freshness.Timestamp(10 * time.Second)
-	is.True(s.Fresh(14*time.Second, bound))
-	is.True(!s.Fresh(15*time.Second, bound))
+	confirmed := freshness.Timestamp(10 * time.Second)
+	is.True(confirmed.Fresh(14*time.Second, bound))
+	is.True(!confirmed.Fresh(15*time.Second, bound))
 	is.True(!freshness.Timestamp(0).Fresh(time.Second, bound)) // never known to be the newest
 	is.True(freshness.Timestamp(0).Fresh(time.Hour, 0))        // no bound
 	is.Equal(freshness.FromPeer(time.Second, time.Hour), freshness.Timestamp(0))
@@ -44,7 +44,7 @@
 	var pings freshness.SendTimes
 	pings.Sent(3, 20*time.Second)
 	sent, _ := pings.At(3)
-	s := freshness.FromPeer(sent, 700*time.Millisecond)
-	fmt.Println(s.Fresh(24*time.Second, 5*time.Second), s.Fresh(25*time.Second, 5*time.Second))
+	confirmed := freshness.FromPeer(sent, 700*time.Millisecond)
+	fmt.Println(confirmed.Fresh(24*time.Second, 5*time.Second), confirmed.Fresh(25*time.Second, 5*time.Second))
 	// Output: true false
 }
--- a/internal/pick/picker_test.go
+++ b/internal/pick/picker_test.go
@@ -126,7 +126,7 @@
 // TestRefusalWithoutAnAttemptCarriesTheOwnersRetryAfter: a daemon that has just been
 // refused by all owners refuses the next call without an attempt, and must pass on their
 // retry-after times. Of 7,047 refusals for a service short of slots, 4,936 were made that
-// way, and told callers to retry after a second where the owners had said 20 ms.
+// way, with a retry-after time of a second where that of the owners was 20 ms.
 func TestRefusalWithoutAnAttemptCarriesTheOwnersRetryAfter(t *testing.T) {
 	is := is.New(t)
 	f := newPickerFixture("a")
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -400,16 +400,16 @@
 		limit := Limit{Rate: 90, Burst: 30}
 		var coordinators []*Coordinator
 		for range domains {
-			k := NewCoordinator(fleetTolerance)
-			k.Set(map[string]Limit{"ws": limit}, domains)
-			coordinators = append(coordinators, k)
+			c := NewCoordinator(fleetTolerance)
+			c.Set(map[string]Limit{"ws": limit}, domains)
+			coordinators = append(coordinators, c)
 		}
 		now := time.Second
 		check := func() {
 			sum := 0.0
-			for _, k := range coordinators {
-				if b := k.bucket(now, "ws"); b != nil {
-					sum += k.rate("ws", b, now)
+			for _, c := range coordinators {
+				if b := c.bucket(now, "ws"); b != nil {
+					sum += c.rate("ws", b, now)
 				}
 			}
 			most := limit.Rate + evenBurstFraction*limit.Burst/fleetTolerance.Window.Seconds()
@@ -420,8 +420,8 @@
 		for range rapid.IntRange(5, 80).Draw(rt, "steps") {
 			now += time.Duration(rapid.IntRange(1, 400).Draw(rt, "ms")) * time.Millisecond
 			i := rapid.IntRange(0, domains-1).Draw(rt, "keeper")
-			for _, k := range coordinators {
-				k.HandleReport(now, Report{})
+			for _, c := range coordinators {
+				c.HandleReport(now, Report{})
 			}
 			coordinators[i].HandleReport(now, Report{Used: map[string]int{"ws": rapid.IntRange(0, 60).Draw(rt, "used")}})
 			check()
@@ -448,19 +448,19 @@
 		limits[fmt.Sprint("ws", i)] = Limit{Rate: 10, Burst: 10}
 		used[fmt.Sprint("ws", i)] = 1
 	}
-	k := NewCoordinator(fleetTolerance)
-	k.Set(limits, 3)
+	c := NewCoordinator(fleetTolerance)
+	c.Set(limits, 3)
 	now := time.Second
-	k.HandleReport(now, Report{Used: used})
-	is.Equal(len(k.buckets), 10_000)
+	c.HandleReport(now, Report{Used: used})
+	is.Equal(len(c.buckets), 10_000)
 	for range 100 {
 		now += 100 * time.Millisecond
-		k.HandleReport(now, Report{Used: map[string]int{"ws1": 1}})
+		c.HandleReport(now, Report{Used: map[string]int{"ws1": 1}})
 	}
-	is.Equal(len(k.buckets), 1)
-	k.Set(map[string]Limit{}, 3) // removes all limits
-	is.Equal(len(k.buckets), 0)
-	is.Equal(k.HandleReport(now, Report{Wanted: map[string]int{"ws1": 3}}).Granted["ws1"], 3)
+	is.Equal(len(c.buckets), 1)
+	c.Set(map[string]Limit{}, 3) // removes all limits
+	is.Equal(len(c.buckets), 0)
+	is.Equal(c.HandleReport(now, Report{Wanted: map[string]int{"ws1": 3}}).Granted["ws1"], 3)
 }
 
 // TestWorkspaceAboveItsLimitGetsNearlyAllOfIt checks that a workspace which sends a
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -277,7 +277,7 @@
 			tally.Add(pending[old].Rows())
 		}
 		if why := judge(tally, len(canaries)); why != "" {
-			// Calls go on without the new version until the deadline.
+			// Calls continue without the new version until the deadline.
 			return result{true, float64(exposed) / (s.rate * s.duration.Seconds()), why}
 		}
 	}
--- a/internal/suspect/record.go
+++ b/internal/suspect/record.go
@@ -10,10 +10,10 @@
 
 const (
 	// QuarantineThreshold is the number of crashes after which a request is quarantined,
-	// each of an upstream that was running the request. One crash makes suspects of all requests that ran at the
-	// upstream, 16 or more. It is still common that a harmless request is suspected of two
-	// crashes where calls are retried at other upstreams, but not that it is suspected of
-	// three without an answer in between.
+	// each of an upstream that was running the request. One crash makes suspects of all
+	// requests that ran at the upstream, 16 or more. It is still common that a harmless
+	// request is suspected of two crashes where calls are retried at other upstreams, but not
+	// that it is suspected of three without an answer in between.
 	QuarantineThreshold = 3
 	// Retention is how long a record is kept after its last change: long enough for
 	// somebody to investigate what crashed three upstreams. A request that crashes
@@ -37,8 +37,8 @@
 	return CrashID(h.Sum64())
 }
 
-// Record is what is known of one request. Merging records of a request gives the same
-// result in whatever order, and however often, they are merged.
+// Record is what a daemon knows about one suspected request. Merging records of a request
+// gives the same result in whatever order, and however often, they are merged.
 type Record struct {
 	Digest Digest `json:"d"`
 	// Round increases each time the request is cleared, usually because an upstream
--- a/internal/system/upstream.go
+++ b/internal/system/upstream.go
@@ -94,7 +94,7 @@
 }
 
 // recordDeparture records that an incarnation has exited, so that its late announcements
-// do not bring it back.
+// do not register it again.
 func recordDeparture(w *table.World, now time.Time, name string, startedMs int64) {
 	w.Departed[name] = table.Departure{StartedMs: max(startedMs, w.Departed[name].StartedMs), Until: now.Add(departedRetention)}
 }
