--- a/internal/agent/rollout_test.go
+++ b/internal/agent/rollout_test.go
@@ -241,6 +241,6 @@
 	time.Sleep(500 * time.Millisecond)
 	calls := f.calls.Load() - before
 	t.Logf("%d of %d calls went to the bad version; %d callers got a failure", exposed, calls, f.failed.Load())
-	is.Equal(f.versions["v2"].runs.Load(), exposed) // no calls after the rollback
+	is.Equal(f.versions["v2"].runs.Load(), exposed) // no calls after the revert
 	is.True(exposed <= calls/10+50)
 }
--- a/internal/callpath/crash_test.go
+++ b/internal/callpath/crash_test.go
@@ -12,7 +12,7 @@
 
 // TestCrashIsDistinguishedFromBrokenConnection breaks one connection of a running
 // upstream, and then crashes the upstream with calls in flight. The reason in the answers
-// must tell the two apart, and the crash must be counted once, however many calls it
+// must distinguish the two, and the crash must be counted once, however many calls it
 // breaks.
 func TestCrashIsDistinguishedFromBrokenConnection(t *testing.T) {
 	is := is.New(t)
--- a/internal/callpath/dialect.go
+++ b/internal/callpath/dialect.go
@@ -27,7 +27,7 @@
 	Workspace string
 	// Depth holds the number of ingress daemons that a call has passed through.
 	Depth string
-	// ExpectedInstance tells an upstream which process a request is meant for. Another
+	// ExpectedInstance names the process that a request is meant for. Another
 	// process that has taken over the address responds with StatusMisdirectedRequest and
 	// does not run the request.
 	ExpectedInstance string
@@ -41,7 +41,7 @@
 	// with another ID then belongs to another request.
 	EchoesRequestID bool
 	// ParentRequest returns the ID of the parent request, for which an upstream made the
-	// request with the given ID, or empty if the ID does not tell. Nil: no ID does.
+	// request with the given ID, or empty if the ID does not contain it. Nil: no ID does.
 	ParentRequest func(request string) string
 	// FractionalRetryAfter is set if callers accept fractions of a second in Retry-After.
 	FractionalRetryAfter bool
--- a/internal/callpath/log_test.go
+++ b/internal/callpath/log_test.go
@@ -36,8 +36,8 @@
 	is.Equal(suppressed, 0) // reported only once
 }
 
-// TestNoRouteLineHasHostPathAndConfigurationAge guards against log lines that do not tell
-// a call for a route that never existed from one for a route that only a later
+// TestNoRouteLineHasHostPathAndConfigurationAge guards against log lines that do not
+// distinguish a call for a route that never existed from one for a route that only a later
 // configuration has.
 func TestNoRouteLineHasHostPathAndConfigurationAge(t *testing.T) {
 	is := is.New(t)
--- a/internal/callpath/transit_test.go
+++ b/internal/callpath/transit_test.go
@@ -77,7 +77,7 @@
 }
 
 // TestTransitIsBounded checks that the table of senders stays within its limit: senders
-// that are gone make room for new ones.
+// that no longer send are removed to make room for new ones.
 func TestTransitIsBounded(t *testing.T) {
 	is := is.New(t)
 	tr := newTransit()
--- a/internal/callpath/unsent_test.go
+++ b/internal/callpath/unsent_test.go
@@ -70,9 +70,9 @@
 		disconnect()
 		time.Sleep(2 * idleConnWaitMax)
 	})
-	gone := w.owner.execute(ctx, waitingAttempt("gone", w.id, time.Now().Add(time.Minute)))
-	is.Equal(gone.Outcome, outcome.NotRun)
-	is.Equal(gone.Reason, outcome.ReasonCancelled)
+	disconnected := w.owner.execute(ctx, waitingAttempt("gone", w.id, time.Now().Add(time.Minute)))
+	is.Equal(disconnected.Outcome, outcome.NotRun)
+	is.Equal(disconnected.Reason, outcome.ReasonCancelled)
 
 	connect(func() { time.Sleep(60 * time.Millisecond) })
 	late := w.owner.execute(context.Background(), waitingAttempt("late", w.id, time.Now().Add(50*time.Millisecond)))
@@ -136,9 +136,9 @@
 	is.Equal(late.Reason, outcome.ReasonDeadline)
 
 	ctx, disconnect := disconnectingCaller(t)
-	gone := send(ctx, waitingAttempt("l-3", "u", time.Now().Add(time.Minute)), disconnect)
-	is.Equal(gone.Outcome, outcome.NotRun)
-	is.Equal(gone.Reason, outcome.ReasonCancelled)
+	disconnected := send(ctx, waitingAttempt("l-3", "u", time.Now().Add(time.Minute)), disconnect)
+	is.Equal(disconnected.Outcome, outcome.NotRun)
+	is.Equal(disconnected.Reason, outcome.ReasonCancelled)
 
 	ended, end := context.WithTimeout(context.Background(), slow/2)
 	defer end()
--- a/internal/system/member.go
+++ b/internal/system/member.go
@@ -40,19 +40,19 @@
 		mergeSelf(w, rec, out)
 		return
 	}
-	heard := now.Add(-time.Duration(rec.AgeMs) * time.Millisecond)
+	renewedAt := now.Add(-time.Duration(rec.AgeMs) * time.Millisecond)
 	rec.AgeMs = 0
 	row := w.Members[rec.ID]
 	switch {
 	case row == nil:
-		row = &table.Member{Member: rec, RenewedAt: heard}
+		row = &table.Member{Member: rec, RenewedAt: renewedAt}
 		w.Members[rec.ID] = row
 		out.event(event.Event{Kind: event.MemberUp, Peer: rec.ID})
 	case rec.Newer(row.Member):
 		restarted := rec.Incarnation != row.Incarnation
 		heartbeat := row.Heartbeat
 		row.Member = rec
-		row.RenewedAt = latestTime(row.RenewedAt, heard)
+		row.RenewedAt = latestTime(row.RenewedAt, renewedAt)
 		if !restarted && heartbeat.Seq > rec.Heartbeat.Seq {
 			row.Heartbeat = heartbeat
 		}
@@ -61,7 +61,7 @@
 		}
 	case rec.Incarnation == row.Incarnation && rec.Heartbeat.Seq > row.Heartbeat.Seq:
 		row.Heartbeat = rec.Heartbeat
-		row.RenewedAt = latestTime(row.RenewedAt, heard)
+		row.RenewedAt = latestTime(row.RenewedAt, renewedAt)
 		row.Floor = max(row.Floor, rec.Heartbeat.Applied)
 		clearLapse(w, now, row)
 		return
--- a/itest/calls_test.go
+++ b/itest/calls_test.go
@@ -230,7 +230,7 @@
 }
 
 // TestDeadlinesAndCancellationsReachTheUpstream guards against calls that keep running at an
-// upstream after their deadline has passed or their caller has gone.
+// upstream after their deadline has passed or their caller has disconnected.
 func TestDeadlinesAndCancellationsReachTheUpstream(t *testing.T) {
 	is := is.New(t)
 	c, ups := threeDomains(t)
