--- a/internal/system/freshness.go
+++ b/internal/system/freshness.go
@@ -28,7 +28,7 @@
 )
 
 // confirmFromStore records that the configuration held was the newest when the read of
-// the store began. startedAt is the boot time then, or zero if it was not recorded.
+// the store began. startedAt is the boot time of that read, or zero if it was not recorded.
 func confirmFromStore(w *table.World, startedAt time.Duration) {
 	if startedAt > 0 {
 		advanceTimestamp(w, freshness.Timestamp(startedAt), 0)
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -213,7 +213,8 @@
 	// Echo is the highest Ping.Seq that the sender had received when it computed
 	// AgeUs. With it the receiver dates the confirmation by its own clock.
 	Echo uint64 `json:"echo"`
-	// AgeUs is how long ago that was, in microseconds.
+	// AgeUs is how long ago the configuration was last known to be the newest, in
+	// microseconds.
 	AgeUs int64 `json:"age"`
 }
 
--- a/itest/calls_test.go
+++ b/itest/calls_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// TestLeavingUpstreamGetsNoNewCalls withdraws one upstream and kills another under load. No
+// TestLeavingUpstreamGetsNoNewCalls deregisters one upstream and kills another under load. No
 // caller may lose its connection, and only calls in flight at the killed upstream may have
 // an unknown outcome.
 func TestLeavingUpstreamGetsNoNewCalls(t *testing.T) {
@@ -144,7 +144,7 @@
 	c, ups := threeDomains(t, "-delay-ms", "5")
 	load := harness.StartLoad(16, c.VMs, harness.PostCalls("leave"))
 	load.AwaitResponses(t, 200)
-	// The upstream withdraws and keeps running: calls admitted before finish, then no
+	// The upstream is deregistered and keeps running: calls admitted before finish, then no
 	// more arrive.
 	c.VMs[1].Withdraw(ups[1])
 	load.AwaitResponses(t, 100)
--- a/itest/cmd/upstreamd/main.go
+++ b/itest/cmd/upstreamd/main.go
@@ -54,8 +54,8 @@
 		time.Sleep(time.Duration(*restartDelayMs) * time.Millisecond)
 		srv = u.startIncarnation(&n)
 	}
-	withdraw(*daemon, *id)
-	// Calls that the owner admitted before it received the withdrawal arrive within
+	deregister(*daemon, *id)
+	// Calls that the owner admitted before it received the deregistration arrive within
 	// this time.
 	time.Sleep(200 * time.Millisecond)
 	exitOnError(srv.Shutdown(context.Background()))
@@ -102,7 +102,7 @@
 	}
 }
 
-func withdraw(daemon, id string) {
+func deregister(daemon, id string) {
 	req, err := http.NewRequest(http.MethodDelete, "http://"+daemon+"/v1/upstreams/"+id, nil)
 	exitOnError(err)
 	if res, err := http.DefaultClient.Do(req); err == nil {
--- a/itest/harness/cluster.go
+++ b/itest/harness/cluster.go
@@ -202,7 +202,7 @@
 	return u
 }
 
-// Withdraw withdraws the upstream from the VM's daemon; its process keeps running.
+// Withdraw deregisters the upstream at the VM's daemon; its process keeps running.
 func (v *VM) Withdraw(u *Upstream) {
 	v.c.T.Helper()
 	req, err := http.NewRequest(http.MethodDelete, "http://"+v.Addrs.Local+"/v1/upstreams/"+u.ID, nil)
--- a/itest/soak/plan.go
+++ b/itest/soak/plan.go
@@ -24,7 +24,7 @@
 	oneWay           faultKind = "one-way"   // the daemon's replies to other daemons are lost
 	isolate          faultKind = "isolate"   // its failure domain is partitioned from the others
 	crash            faultKind = "crash"     // an upstream is killed, another one starts at the end
-	leave            faultKind = "leave"     // an upstream withdraws and exits, another one starts at the end
+	leave            faultKind = "leave"     // an upstream deregisters and exits, another one starts at the end
 	storeDown        faultKind = "store"     // every call to the store fails
 	storeSlow        faultKind = "storeSlow" // every call to the store is delayed
 	storeLoseAnswers faultKind = "storeLose" // answers to the next appends are lost
