--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -69,10 +69,10 @@
 }
 
 // TestStoppingDaemonServesPeersUntilCallersLeave guards against a daemon that makes its
-// healthy upstream unavailable to the other daemons for its whole stop. In rolling restarts of 45 of 87
-// VMs, five at once, stops took 4.2 to 4.6 s, so that 13 to 16 upstreams were missing at any
-// time and the least urgent calls were refused. The test stops the daemon that owns the only
-// upstream.
+// healthy upstream unavailable to the other daemons for its whole stop. In rolling restarts
+// of 45 of 87 VMs, five at once, stops took 4.2 to 4.6 s, so that 13 to 16 upstreams were
+// missing at any time and the least urgent calls were refused. The test stops the daemon that
+// owns the only upstream.
 func TestStoppingDaemonServesPeersUntilCallersLeave(t *testing.T) {
 	is := is.New(t)
 	f := startLeavingPair(t)
