--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -58,11 +58,11 @@
 }
 
 const (
-	// evenBurstFraction is the part of a burst that is added to the rate, spread evenly
+	// evenBurstFraction is the fraction of a burst that is added to the rate, spread evenly
 	// over the window: a limit allows its burst in each window, not just once. The rest
 	// of the burst may come at once.
 	evenBurstFraction = 0.5
-	// toleranceCallsFraction is the part of Tolerance.Calls that buckets hold beyond
+	// toleranceCallsFraction is the fraction of Tolerance.Calls that buckets hold beyond
 	// their burst: the calls of a workspace that sends few come in clusters. The rest,
 	// and Tolerance.Fraction, cover calls that are admitted before the coordinator learns of
 	// them.
@@ -75,7 +75,7 @@
 	reserveSeconds = 0.25
 	// demandAverageSeconds is the time over which demand is averaged.
 	demandAverageSeconds = 1.0
-	// startupRateFraction is the part of its rate that a coordinator gives out in its
+	// startupRateFraction is the fraction of its rate that a coordinator gives out in its
 	// first LeaseDuration: what its predecessor leased to other domains may still be in use.
 	startupRateFraction = 0.75
 	// maxReportGap is the time without reports after which a coordinator resets its
--- a/internal/quota/lease.go
+++ b/internal/quota/lease.go
@@ -6,13 +6,13 @@
 	// LeaseDuration is the duration of a lease. A coordinator that received a lease and is
 	// then partitioned falls back to its own part of the limit when the lease expires.
 	LeaseDuration = time.Second
-	// demandThreshold is the demand, as a part of its own rate, from which a coordinator
+	// demandThreshold is the demand, as a fraction of its own rate, from which a coordinator
 	// requests leases.
 	demandThreshold = 0.8
 	// demandHeadroom is the rate that a coordinator requests, or keeps for itself when it
 	// grants leases, as a multiple of its demand.
 	demandHeadroom = 1.3
-	// minLeaseFraction is the smallest part of a limit that is worth requesting.
+	// minLeaseFraction is the smallest fraction of a limit that is worth requesting.
 	minLeaseFraction = 0.01
 )
 
--- a/internal/quota/locallimiter.go
+++ b/internal/quota/locallimiter.go
@@ -16,7 +16,7 @@
 	maxUnackedSeconds = 0.2
 	minUnackedCalls   = 2
 	// fallbackBurst is how many calls a daemon without a valid reply admits at once, and
-	// fallbackFraction is the part of its even share that it admits: daemons that still
+	// fallbackFraction is the fraction of its even share that it admits: daemons that still
 	// reach a coordinator use their shares too.
 	fallbackBurst    = 1
 	fallbackFraction = 0.5
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -119,12 +119,12 @@
 	// for partitioned daemons; on all others the removal is in force within in_force.
 	Revoke Duration `yaml:"revoke"`
 	// LimitWindow, LimitPart and LimitCalls define by how much the limits of workspaces
-	// may be exceeded: in each window by this part of the calls that they allow in it, and
+	// may be exceeded: in each window by this fraction of the calls that they allow in it, and
 	// by this number of calls. Default: 5s, 0.1 and 0.
 	LimitWindow Duration `yaml:"limit_window"`
 	LimitPart   float64  `yaml:"limit_part"`
 	LimitCalls  float64  `yaml:"limit_calls"`
-	// Exposure is the part of a service's calls that a bad version may get during its
+	// Exposure is the fraction of a service's calls that a bad version may get during its
 	// rollout. Default: 0.1.
 	Exposure float64 `yaml:"exposure"`
 }
