--- a/internal/agent/rollout_test.go
+++ b/internal/agent/rollout_test.go
@@ -229,9 +229,9 @@
 	is.Equal(newest.End, uint64(3)) // phases trying, moving and completed
 }
 
-// TestRolloutOfFailingVersionIsRolledBack lets half of the calls to the new version fail. It
+// TestRolloutOfFailingVersionIsReverted lets half of the calls to the new version fail. It
 // guards against a rollout that continues or exposes more than a tenth of the calls to it.
-func TestRolloutOfFailingVersionIsRolledBack(t *testing.T) {
+func TestRolloutOfFailingVersionIsReverted(t *testing.T) {
 	is := is.New(t)
 	f := startRolloutFleet(t, 6)
 	f.versions["v2"].failPercent.Store(50)
--- a/internal/callpath/owner.go
+++ b/internal/callpath/owner.go
@@ -122,7 +122,7 @@
 		if present[id] {
 			continue
 		}
-		loc.gate.Close(outcome.ReasonGone)
+		loc.gate.Close(outcome.ReasonUpstreamRemoved)
 		delete(o.upstreams, id)
 	}
 }
@@ -133,7 +133,7 @@
 	}
 	loc := o.upstreams[l.ID]
 	if loc != nil && (loc.addr != l.Addr || loc.conns != l.Conns || loc.process != l.Process) {
-		loc.gate.Close(outcome.ReasonGone)
+		loc.gate.Close(outcome.ReasonUpstreamRemoved)
 		loc = nil
 	}
 	if loc == nil {
--- a/internal/callpath/ownerhttp.go
+++ b/internal/callpath/ownerhttp.go
@@ -97,7 +97,7 @@
 		a.WaitFraction = o.cfg.Dialect.waitFraction(a.Request)
 	}
 	if a.Incarnation != o.cfg.Incarnation {
-		o.writeResult(w, outcome.Refuse(outcome.ReasonGone, 0))
+		o.writeResult(w, outcome.Refuse(outcome.ReasonUpstreamRemoved, 0))
 		return
 	}
 	if o.leaving.Load() {
--- a/internal/callpath/ownerrun.go
+++ b/internal/callpath/ownerrun.go
@@ -86,7 +86,7 @@
 	loc := o.upstreams[a.Upstream]
 	o.mu.Unlock()
 	if loc == nil {
-		return nil, outcome.Refuse(outcome.ReasonGone, 0)
+		return nil, outcome.Refuse(outcome.ReasonUpstreamRemoved, 0)
 	}
 	if reason, ok := o.ledger.receive(a); !ok {
 		if reason == outcome.ReasonDuplicate {
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -38,15 +38,15 @@
 	// ReasonStale: the daemon's configuration is too old to tell which keys are valid.
 	ReasonStale Reason = "configuration-stale"
 	// ReasonOverLimit: the call exceeds its workspace's rate limit.
-	ReasonOverLimit   Reason = "over-limit"
-	ReasonTooLarge    Reason = "body-too-large"
-	ReasonBadRequest  Reason = "bad-request"
-	ReasonTooDeep     Reason = "too-deep"
-	ReasonNoUpstream  Reason = "no-upstream"
-	ReasonUnreachable Reason = "unreachable"
-	ReasonDraining    Reason = "draining"
-	ReasonGone        Reason = "upstream-gone"
-	ReasonOverload    Reason = "overload"
+	ReasonOverLimit       Reason = "over-limit"
+	ReasonTooLarge        Reason = "body-too-large"
+	ReasonBadRequest      Reason = "bad-request"
+	ReasonTooDeep         Reason = "too-deep"
+	ReasonNoUpstream      Reason = "no-upstream"
+	ReasonUnreachable     Reason = "unreachable"
+	ReasonDraining        Reason = "draining"
+	ReasonUpstreamRemoved Reason = "upstream-gone"
+	ReasonOverload        Reason = "overload"
 	// ReasonLink: the body would wait too long for the network link of the owner's VM.
 	ReasonLink Reason = "link-busy"
 	// ReasonUpstreamRefused: the upstream itself refused the request.
@@ -141,7 +141,7 @@
 // urgency.
 func (r Result) UpstreamUnavailable() bool {
 	switch r.Reason {
-	case ReasonDraining, ReasonGone, ReasonUnreachable, ReasonMoved:
+	case ReasonDraining, ReasonUpstreamRemoved, ReasonUnreachable, ReasonMoved:
 		return true
 	}
 	return false
--- a/itest/calls_test.go
+++ b/itest/calls_test.go
@@ -146,7 +146,7 @@
 	load.AwaitResponses(t, 200)
 	// The upstream is deregistered and keeps running: calls admitted before finish, then no
 	// more arrive.
-	c.VMs[1].Withdraw(ups[1])
+	c.VMs[1].Deregister(ups[1])
 	load.AwaitResponses(t, 100)
 	before := runCountOf(c, ups[1])
 	load.AwaitResponses(t, 300)
--- a/itest/harness/cluster.go
+++ b/itest/harness/cluster.go
@@ -202,8 +202,8 @@
 	return u
 }
 
-// Withdraw deregisters the upstream at the VM's daemon; its process keeps running.
-func (v *VM) Withdraw(u *Upstream) {
+// Deregister deregisters the upstream at the VM's daemon; its process keeps running.
+func (v *VM) Deregister(u *Upstream) {
 	v.c.T.Helper()
 	req, err := http.NewRequest(http.MethodDelete, "http://"+v.Addrs.Local+"/v1/upstreams/"+u.ID, nil)
 	if err != nil {
