--- a/internal/callpath/ingress.go
+++ b/internal/callpath/ingress.go
@@ -15,7 +15,7 @@
 
 	"github.com/comfreygate/comfreygate/internal/boottime"
 	"github.com/comfreygate/comfreygate/internal/event"
-	t "github.com/comfreygate/comfreygate/internal/freshness"
+	"github.com/comfreygate/comfreygate/internal/freshness"
 	"github.com/comfreygate/comfreygate/internal/limits"
 	"github.com/comfreygate/comfreygate/internal/outcome"
 	"github.com/comfreygate/comfreygate/internal/pick"
@@ -150,7 +150,7 @@
 
 // SetFreshAt records the freshness of the configuration: the last time at which the
 // configuration of the current view, or of an earlier view, was certainly the newest.
-func (in *Ingress) SetFreshAt(s t.Timestamp) { in.confirmedAt.Store(int64(s)) }
+func (in *Ingress) SetFreshAt(t freshness.Timestamp) { in.confirmedAt.Store(int64(t)) }
 
 // Stale reports whether calls that need a workspace key are being refused because the
 // configuration is too old.
@@ -163,7 +163,7 @@
 // admit calls by workspace key. Freshness is read before the view: a view stored in
 // between can only be newer.
 func (in *Ingress) currentView() (fresh bool, v *view.View) {
-	fresh = t.Timestamp(in.confirmedAt.Load()).Fresh(boottime.Now(), in.cfg.MaxConfigAge)
+	fresh = freshness.Timestamp(in.confirmedAt.Load()).Fresh(boottime.Now(), in.cfg.MaxConfigAge)
 	return fresh, in.view.Load()
 }
 
